--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -1,6 +1,6 @@
-// Package search is an evolutionary search for the cases that leave the least margin to
-// rules: it generates cases, keeps those nearest to the bound of each rule, and continues
-// from mutated copies of these. The same seed gives the same search, however many cases are
+// Package search implements an evolutionary search for the cases with the smallest margins to the
+// bounds of rules. It generates cases, keeps the cases with the smallest margin of each rule, and
+// evaluates mutated copies of them. The same seed gives the same search, however many cases are
 // evaluated in parallel.
 package search
 
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// Problem describes the cases and how they are evaluated.
+// Problem defines how cases are generated, mutated and evaluated.
 type Problem[C any] struct {
 	// Generate draws a new case.
 	Generate func(*rand.Rand) C
-	// Mutate returns a changed copy of a case, and must not change the case itself.
+	// Mutate returns a changed copy of a case. It must not change the case itself.
 	Mutate func(*rand.Rand, C) C
-	// Evaluate returns the margin that a case leaves to each rule that applies to it, by the
-	// rule's name. It is called from several goroutines.
+	// Evaluate returns the margin of each rule that applies to a case, by the rule's name. It is
+	// called from several goroutines at a time.
 	Evaluate func(C) map[string]float64
 }
 
@@ -29,40 +29,41 @@
 	Seed uint64
 	// Runs is the number of cases to evaluate.
 	Runs int
-	// TimeLimit ends the search earlier, after the batch in which it expires; 0 means none.
+	// TimeLimit ends the search after the batch in which it expires; 0 means no limit.
 	TimeLimit time.Duration
-	// Parallel is how many cases are evaluated in parallel; less than 1 means 1.
+	// Parallel is the number of cases that are evaluated in parallel; less than 1 means 1.
 	Parallel int
-	// FocusRule is the rule whose nearest cases half of the mutations start from; empty
-	// means that all rules are treated alike.
+	// FocusRule is the rule from whose nearest cases half of the mutations start. If it is empty,
+	// all mutations start from the nearest cases of a random rule.
 	FocusRule string
 	// OnBatch, if not nil, is called after each batch with the number of runs so far.
 	OnBatch func(runs int)
 }
 
-// Candidate is a case with the margin that it leaves to a rule.
+// Candidate is a case with its margin for a rule.
 type Candidate[C any] struct {
 	Case   C
 	Margin float64
-	// Run is the number of the run that found it, from 1.
+	// Run is the number of the run that evaluated the case, counted from 1.
 	Run int
 }
 
 // Result is the outcome of a search.
 type Result[C any] struct {
-	// Nearest holds the cases with the least margins of each rule, in ascending order.
+	// Nearest has, for each rule, the cases with the smallest margins in ascending order of the
+	// margin.
 	Nearest map[string][]Candidate[C]
 	// Runs is the number of cases that were evaluated.
 	Runs int
 }
 
 const (
-	// batchSize is how many cases are made before any of them is evaluated. It must not
-	// depend on Options.Parallel, or the search would.
+	// batchSize is the number of cases that are made before any of them is evaluated. It must not
+	// depend on Options.Parallel, because the outcome of the search depends on it.
 	batchSize = 24
-	// maxKept is how many cases are kept for each rule.
+	// maxKept is the number of cases that are kept for each rule.
 	maxKept = 10
-	// freshFraction is the probability of a generated case instead of a mutated one.
+	// freshFraction is the probability that a case is generated instead of mutated.
 	freshFraction = 0.25
 	// seedStream is the second word of the generator's seed; it separates the search from
 	// other uses of the same seed.
@@ -93,7 +94,7 @@
 	return result
 }
 
-// nextCase generates a case, or mutates one of those nearest to the bound of a rule.
+// nextCase generates a case, or mutates one of the kept cases.
 func nextCase[C any](rng *rand.Rand, p Problem[C], focusRule string, nearest map[string][]Candidate[C]) C {
 	if len(nearest) == 0 || rng.Float64() < freshFraction {
 		return p.Generate(rng)
@@ -122,8 +123,8 @@
 	return out
 }
 
-// insertNearest adds a candidate and drops the farthest beyond maxKept. Of equal margins the
-// one found first is kept.
+// insertNearest adds a candidate to the kept cases of a rule, and drops the one with the largest
+// margin beyond maxKept. Of equal margins the earlier candidate is kept.
 func insertNearest[C any](nearest []Candidate[C], c Candidate[C]) []Candidate[C] {
 	nearest = append(nearest, c)
 	slices.SortStableFunc(nearest, func(a, b Candidate[C]) int { return cmp.Compare(a.Margin, b.Margin) })
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// plantedProblem has its least margin, 0, for the rule near at (0.7, 0.2), which few generated
-// cases come close to. The rule far has its least margin elsewhere, and applies to few cases.
-// evaluated counts the evaluations.
+// plantedProblem returns a problem with a known minimum. The rule near has its smallest margin, 0,
+// at (0.7, 0.2), and few generated cases come close to it. The rule far has its smallest margin
+// elsewhere and applies to few cases. evaluated counts the evaluations.
 func plantedProblem(evaluated *atomic.Int64) Problem[[2]float64] {
 	return Problem[[2]float64]{
 		Generate: func(rng *rand.Rand) [2]float64 { return [2]float64{rng.Float64(), rng.Float64()} },
@@ -30,6 +30,8 @@
 	}
 }
 
+// TestFindsPlantedMinimum checks that a search finds the minima of plantedProblem, makes exactly
+// the requested runs, gives the same result in parallel, and depends on the seed.
 func TestFindsPlantedMinimum(t *testing.T) {
 	const runs = 700
 	var evaluated atomic.Int64
@@ -52,7 +54,8 @@
 	}
 }
 
-// TestBeatsRandomSampling checks that mutations come nearer than as many generated cases.
+// TestBeatsRandomSampling checks that a search with mutations finds a smaller margin than the same
+// number of generated cases.
 func TestBeatsRandomSampling(t *testing.T) {
 	var evaluated atomic.Int64
 	p := plantedProblem(&evaluated)
@@ -64,6 +67,7 @@
 	}
 }
 
+// TestEndsAtTimeLimit checks that a search ends at its time limit before all runs are made.
 func TestEndsAtTimeLimit(t *testing.T) {
 	var evaluated atomic.Int64
 	p := plantedProblem(&evaluated)
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -10,28 +10,31 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has the checks of a whole day beside the rules of single events: every accepted job
-// stays known, and the largest jobs of each class are served and start in time.
+// This file checks the rules that span a whole day: queries of an accepted job are answered, and
+// the largest jobs of each class are served and start in time.
 
 const (
-	// MaxUnanswered is how long an accepted job may go without an answered query once all faults
+	// MaxUnanswered is how long the queries of an accepted job may go unanswered once all faults
 	// are over. The load tests against real controllers use it, too.
 	MaxUnanswered = 75 * time.Second
-	// endedPollInterval is how often users query ended jobs once all faults are over: several times
-	// within MaxUnanswered.
+	// endedPollInterval is the interval at which users query ended jobs once all faults are over.
+	// It is a fraction of MaxUnanswered, so that one lost answer violates no rule.
 	endedPollInterval = 15 * time.Second
-	// maxStartWait is how soon the largest jobs of a class must start.
+	// maxStartWait is the time within which the largest jobs of a class must start, not counting
+	// times without capacity.
 	maxStartWait = 240 * time.Second
-	// countServedAfter and servedAfterFaults say when served jobs are counted: that long after the
-	// last submission, not counting times without capacity, and that long after the last fault.
+	// countServedAfter and servedAfterFaults determine when served jobs are counted:
+	// countServedAfter after the last submission, not counting times without capacity, and at least
+	// servedAfterFaults after the last fault.
 	countServedAfter  = 3 * time.Minute
 	servedAfterFaults = time.Minute
-	// slowProvisioningGrace is how long after a provisioning fault there may still be no capacity:
-	// until the controllers give up the machines that are not ready, and others are.
+	// slowProvisioningGrace is how long after a provisioning fault there may still be no capacity.
+	// In this time the controllers give up the machines that are not ready and replacements become
+	// ready.
 	slowProvisioningGrace = 2 * time.Minute
 )
 
-// lastFaultEnd returns when the day's last fault is over.
+// lastFaultEnd returns the latest end of the day's faults, counted from the day's begin.
 func (d *Day) lastFaultEnd() time.Duration {
 	end := time.Duration(0)
 	for _, f := range d.Faults {
@@ -40,8 +43,8 @@
 	return end
 }
 
-// checkPollsAnswered checks that a job's queries do not go unanswered for longer than
-// MaxUnanswered.
+// checkPollsAnswered checks that a job's queries are not unanswered for longer than MaxUnanswered
+// once all faults are over. It reports a job at most once.
 func (w *World) checkPollsAnswered(j *userJob) {
 	if w.faultsEndAt.IsZero() || !j.accepted || j.silenceReported {
 		return
@@ -58,13 +61,13 @@
 	}
 }
 
-// extendedDeadline returns the end of a period that begins at from and lasts duration, extended by
-// the parts of it without capacity.
+// extendedDeadline returns the end of a period that begins at from and has the given duration,
+// extended by the times in it during which faults leave no capacity.
 func (d *Day) extendedDeadline(from, duration time.Duration) time.Duration {
 	end := from + duration
 	for range d.Faults {
 		extended, covered := from+duration, from
-		for _, f := range d.Faults { // in the order of their begin
+		for _, f := range d.Faults { // sorted by their begin
 			a, b := max(f.noCapacityFrom(), covered), min(f.noCapacityUntil(d.Controllers), end)
 			if b > a {
 				extended, covered = extended+b-a, b
@@ -78,8 +81,8 @@
 	return end
 }
 
-// maxConcurrent returns how many tasks of a job the team's quota limit and the cloud allow at a
-// time.
+// maxConcurrent returns how many tasks of a job can run at a time within the team's quota limit and
+// the cloud's capacity.
 func (d *Day) maxConcurrent(s *model.JobSpec) int {
 	types, capacity := d.cloudInventory()
 	fit := 0
@@ -103,23 +106,27 @@
 	return min(fit, s.Tasks)
 }
 
-// LargestJobs is the outcome of a class's largest jobs: the largest tenth, at least one, by number
-// of tasks and by total work. Of the two, the worse counts.
+// LargestJobs is the outcome of a class's largest jobs. Two groups are evaluated, the largest tenth
+// (at least one job) by number of tasks and by resource-seconds; each figure is the worse one of
+// the two groups.
 type LargestJobs struct {
+	// ServedFraction is the fraction of the jobs that were served, of those that could be served.
 	ServedFraction float64 `json:"served"`
-	// FirstStartS is the longest wait for a first task, in seconds, and AllStartedS the longest
-	// wait for as many tasks as can run at a time; -1 means never.
+	// FirstStartS is the longest wait for the first start of a task, in seconds. AllStartedS is the
+	// longest wait until as many tasks have started as can run at a time, in seconds. -1 means that
+	// a job never got so far.
 	FirstStartS float64 `json:"first_s"`
 	AllStartedS float64 `json:"all_s"`
 	// Late describes the jobs that did not start in time.
 	Late []string `json:"late,omitempty"`
 }
 
-// isCounted reports whether a job counts in the outcome of a day.
+// isCounted reports whether a job counts in the outcome of a day: it is not cancelled, can succeed
+// and was not refused.
 func (j *userJob) isCounted() bool { return !j.isCancelled() && !j.alwaysFails && j.refusedStatus == 0 }
 
-// isServed reports whether a job was served: it is done, or all replicas of a long-running job
-// started.
+// isServed reports whether a job was served: the user knows that it is done, or all replicas of a
+// long-running job have started.
 func (j *userJob) isServed() bool {
 	if j.spec.LongRunning {
 		return j.completedCount() == j.spec.Tasks
@@ -127,7 +134,8 @@
 	return j.lastState == "done"
 }
 
-// hasUnfinishedJobs reports whether there is a job about which more can be known later.
+// hasUnfinishedJobs reports whether the outcome of a counted job can still change: the job is
+// long-running or not served yet.
 func (w *World) hasUnfinishedJobs() bool {
 	for _, j := range w.jobs {
 		if j.isCounted() && (j.spec.LongRunning || !j.isServed()) {
@@ -137,7 +145,8 @@
 	return false
 }
 
-// completedCount returns how many tasks are done, or how many replicas ever started.
+// completedCount returns the number of tasks that are done or, for a long-running job, of replicas
+// that have started.
 func (j *userJob) completedCount() int {
 	if j.spec.LongRunning {
 		return len(j.firstStarts)
@@ -145,7 +154,8 @@
 	return len(j.doneTasks)
 }
 
-// largestJobs returns the largest tenth of each class by number of tasks, and by work.
+// largestJobs returns the largest tenth of the counted jobs of each class, first by number of
+// tasks, second by resource-seconds.
 func (w *World) largestJobs() map[string][2][]*userJob {
 	by := map[string][]*userJob{}
 	for _, id := range sortedKeys(w.jobs) {
@@ -162,7 +172,7 @@
 		}
 		tasks := func(j *userJob) float64 { return float64(j.spec.Tasks) }
 		work := func(j *userJob) float64 {
-			// A GPU counts as the CPUs that usually come with it.
+			// A GPU counts as 8 CPUs, about the CPUs of a machine per GPU.
 			return tasks(j) * (j.spec.Need.CPU + 8*j.spec.Need.GPU) * max(1, j.run.Seconds())
 		}
 		out[class] = [2][]*userJob{top(tasks), top(work)}
@@ -170,15 +180,15 @@
 	return out
 }
 
-// couldBeServed reports whether a job could be served by now if it had had the whole cloud to
-// itself since its submission, with no provisioning, image fetch or fault.
+// couldBeServed reports whether a job could have completed by now under ideal conditions: since it
+// became eligible it had the whole cloud to itself, without provisioning, image fetches and faults.
 func (d *Day) couldBeServed(w *World, j *userJob) bool {
 	all := d.maxConcurrent(&j.spec)
 	return all > 0 && j.dependenciesDone() && j.run*time.Duration((j.spec.Tasks+all-1)/all) <= w.now.Sub(j.eligibleSince())
 }
 
-// largestServedFraction returns the part of a class's largest jobs that was served, of those that
-// could be served.
+// largestServedFraction returns the fraction of a class's largest jobs that were served, of those
+// that could be served; of the two groups, the smaller fraction.
 func (d *Day) largestServedFraction(w *World, tops [2][]*userJob) float64 {
 	least := 1.0
 	for _, js := range tops {
@@ -198,8 +208,8 @@
 	return least
 }
 
-// recordLargestStarts records when a class's largest jobs started. It is called at the end of a
-// day.
+// recordLargestStarts records in l how long a class's largest jobs waited for their starts, and
+// their margins for RuleBegin. It is called at the end of a day.
 func (d *Day) recordLargestStarts(w *World, l *LargestJobs, largest [2][]*userJob) {
 	seen := map[*userJob]bool{}
 	for _, j := range append(slices.Clone(largest[0]), largest[1]...) {
@@ -238,7 +248,8 @@
 	}
 }
 
-// checkAtEnd adds to the result of a day what only its end shows.
+// checkAtEnd runs the checks that need the end of a day, and adds violations, logs and margins to
+// the result.
 func (d *Day) checkAtEnd(w *World, r *DayResult) {
 	for _, id := range sortedKeys(w.jobs) {
 		w.checkPollsAnswered(w.jobs[id])
@@ -254,7 +265,7 @@
 	r.Log, r.Margins = w.logs, w.margins
 }
 
-// Worst combines the largest jobs of all classes into the worst of each figure.
+// Worst returns the worst value of each figure of LargestJobs over all classes.
 func (r *DayResult) Worst() LargestJobs {
 	out := LargestJobs{ServedFraction: 1}
 	longer := func(a, b float64) float64 {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// cloudListPage is how many machines the cloud lists in one answer.
+	// cloudListPage is the maximum number of machines in one answer of the cloud.
 	cloudListPage = 500
-	// failedListLag is how long a machine that died is still listed as running.
+	// failedListLag is how long the cloud still lists a machine as running after the machine died.
 	failedListLag = 30 * time.Second
-	// maxRentCount and maxReleaseCount bound the machines of one request, as in the protocol.
+	// maxRentCount and maxReleaseCount are the protocol's limits on the number of machines in one
+	// request.
 	maxRentCount    = 50
 	maxReleaseCount = 100
 )
 
-// capacityKey names a kind of machines in World.cloudCapacity.
+// capacityKey returns the key in World.cloudCapacity of a machine type in a zone, spot or on
+// demand.
 func capacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
 }
 
-// executeCloud executes a request to the cloud, unless the cloud is out of service or the request
-// is above its rate.
+// executeCloud executes a request to the cloud. It refuses the request during an outage of the
+// cloud and if the request exceeds the rate limit.
 func (w *World) executeCloud(req message.CloudRequest) message.CloudResponse {
 	response := message.CloudResponse{ID: req.ID, Status: message.CloudOK}
 	if w.cloudOutage || !w.cloudLimiter.AllowN(w.now, 1) {
@@ -51,8 +53,9 @@
 	return response
 }
 
-// listCloudMachines lists a page of the rented machines whose ids come after startAfter, and
-// reports whether there are more. The list is out of date by a time that differs from call to call.
+// listCloudMachines returns the first page of the rented machines whose ids are greater than
+// startAfter, and whether there are more. The list shows the state of an earlier time; the lag is
+// drawn in each call.
 func (w *World) listCloudMachines(startAfter string) (machines []model.CloudMachine, truncated bool) {
 	asOf := w.now.Add(-time.Duration(float64(w.settings.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
 	for _, id := range w.machineIDs[sort.SearchStrings(w.machineIDs, startAfter):] {
@@ -75,8 +78,9 @@
 	return machines, false
 }
 
-// rentMachines rents as many machines as there are, up to the count of the request, and returns
-// their ids. A request that is repeated with the same key gets the machines of the first one.
+// rentMachines rents as many machines as are available, up to the count of the request, and returns
+// their ids. A request with the idempotency key of an earlier rental gets the machines of that
+// rental.
 func (w *World) rentMachines(req message.CloudRequest) ([]string, message.CloudStatus) {
 	if req.Count < 1 || req.Count > maxRentCount || req.IdempotencyKey == "" {
 		w.violate("malformed", "a booking of %d machines", req.Count)
@@ -98,7 +102,7 @@
 	return rented, message.CloudOK
 }
 
-// rentMachine makes one machine of a rental.
+// rentMachine creates one machine of a rental.
 func (w *World) rentMachine(req message.CloudRequest) *Worker {
 	w.lastID++
 	t := w.machineTypes[req.MachineType]
@@ -114,7 +118,8 @@
 	return m
 }
 
-// releaseMachines gives machines back to the cloud, with all that runs on them.
+// releaseMachines returns machines to the cloud and ends all tasks on them. It ignores unknown and
+// released machines.
 func (w *World) releaseMachines(ids []string) message.CloudStatus {
 	if len(ids) > maxReleaseCount {
 		w.violate("malformed", "a return of %d machines", len(ids))
@@ -133,13 +138,14 @@
 	return message.CloudOK
 }
 
-// killMachine ends a machine with all that is on it.
+// killMachine ends a machine and all tasks on it. A machine whose reclaim time has come counts as
+// reclaimed by the cloud.
 func (w *World) killMachine(m *Worker) {
 	if m.dead || m.released {
 		return
 	}
 	if !m.reclaimAt.IsZero() && !w.now.Before(m.reclaimAt) {
-		// Reclaimed by the cloud: it is not listed any more.
+		// The cloud does not list a machine that it reclaimed.
 		m.goneAt = w.now
 	}
 	m.dead, m.diedAt = true, w.now
--- a/internal/simulation/controller_process.go
+++ b/internal/simulation/controller_process.go
@@ -10,8 +10,8 @@
 	"github.com/micahill/micahill/internal/state"
 )
 
-// This file has a controller's process: how it starts, ends and is paused, and how it carries out
-// the effects that its controller emits.
+// This file models the process of a controller: its start, crash and pause, and the execution of
+// the effects that the controller emits.
 
 const (
 	// workerTimeout is how long a controller waits for a worker's answer to a direct request.
@@ -20,46 +20,48 @@
 	cloudTimeout = 5 * time.Second
 )
 
-// controllerProcess is the process of one controller. All its fields are used on the world's
-// goroutine only.
+// controllerProcess models the process of one controller. Its fields are used only on the world's
+// goroutine.
 type controllerProcess struct {
 	world      *World
 	index      int
 	name       string
 	controller *controller.Controller
-	// incarnation counts starts and ends of the process. Callbacks compare it, so that they do
-	// nothing for a later process.
+	// incarnation counts starts and crashes of the process. Callbacks compare it with the value at
+	// their creation, so that a callback of an earlier process has no effect on a later one.
 	incarnation int
 	alive       bool
-	// queue holds the commands of the next step.
+	// queue holds the commands for the next step.
 	queue         []message.Command
 	stepScheduled bool
-	// wakeAt is when the next step is due without any command.
+	// wakeAt is the time of the next step if no command arrives before.
 	wakeAt time.Time
-	// replies holds, by request number, who waits for an answer; next is the last number.
+	// replies holds the functions that receive the answers, by request number. next is the last
+	// number given.
 	replies map[uint64]func(message.Effect)
 	next    uint64
-	// stateRefused: the state service refuses this controller alone.
+	// stateRefused makes the state service refuse all requests of this controller.
 	stateRefused bool
-	// refusedUntil is when the last such refusal that has begun is over.
+	// refusedUntil is the latest end of the refusals that have begun.
 	refusedUntil time.Time
 	limiter      *state.RateLimiter
-	// pausedUntil: the process stands still until then, while its clock runs on. heldEffects are
-	// the effects that it had decided and not sent yet.
+	// pausedUntil is the time until which the process is paused; its clock runs on. heldEffects are
+	// the effects that the controller emitted and the process has not sent yet because of the
+	// pause.
 	pausedUntil time.Time
 	heldEffects []message.Effect
-	// slowUntil: until then a step takes slowFactor times as long as usual.
+	// slowUntil is the time until which a step takes slowFactor times as long as usual.
 	slowUntil  time.Time
 	slowFactor float64
-	// clockSkew is by how much the controller's clock is ahead of the world's.
+	// clockSkew is the time by which the controller's clock is ahead of the world's clock.
 	clockSkew time.Duration
 }
 
-// localTime returns the time that the controller reads.
+// localTime returns the time of the controller's clock.
 func (p *controllerProcess) localTime() time.Time { return p.world.now.Add(p.clockSkew) }
 
-// checkLeader checks that only the leader rents and releases machines: requests to the cloud have
-// no compares that could stop those of a deposed leader.
+// checkLeader checks that only the leader rents and releases machines. Requests to the cloud carry
+// no compares, so the cloud can't refuse requests of a deposed leader.
 func (p *controllerProcess) checkLeader(e message.CloudRequest) {
 	if e.Kind != message.CloudRent && e.Kind != message.CloudRelease {
 		return
@@ -69,7 +71,7 @@
 	}
 }
 
-// start starts the process, with a new controller.
+// start starts the process with a new controller, which has no state from before.
 func (p *controllerProcess) start() {
 	p.incarnation++
 	p.alive = true
@@ -88,7 +90,7 @@
 	if p.world.adjustSettings != nil {
 		p.world.adjustSettings(p.index, &settings)
 	}
-	// Until the controller sets its rates, each has an equal part.
+	// Until the controller sets its rates, each controller has an equal part of the limits.
 	controllerCount := float64(len(p.world.controllers))
 	p.limiter = state.NewRateLimiter(p.world.now, message.Rates{Requests: settings.StoreRequestsPerSecond / controllerCount, Writes: settings.StoreWritesPerSecond / controllerCount})
 	p.controller = controller.New(settings, rand.New(rand.NewPCG(uint64(p.index)+7, uint64(p.incarnation))))
@@ -98,7 +100,7 @@
 	p.scheduleStep()
 }
 
-// CrashController ends the process of controller i and starts it again after d.
+// CrashController crashes the process of controller i and starts it again after d.
 func (w *World) CrashController(i int, d time.Duration) {
 	p := w.controllers[i]
 	p.alive = false
@@ -110,7 +112,8 @@
 	})
 }
 
-// request queues a command that is answered; fn takes the answer. A process that is down drops it.
+// request queues a command that expects an answer and passes the answer to fn. newCommand makes the
+// command from the request number. A process that is down drops the command.
 func (p *controllerProcess) request(newCommand func(uint64) message.Command, fn func(message.Effect)) {
 	if !p.alive {
 		return
@@ -126,8 +129,8 @@
 	p.scheduleStep()
 }
 
-// scheduleStep schedules a step unless there is one already. A paused process takes it when it
-// resumes.
+// scheduleStep schedules a step unless one is scheduled already. A paused process runs the step
+// when it resumes.
 func (p *controllerProcess) scheduleStep() {
 	if p.stepScheduled {
 		return
@@ -143,21 +146,21 @@
 	})
 }
 
-// Pause makes the process of controller i stand still for d.
+// Pause pauses the process of controller i for d. The clock of the process runs on.
 func (w *World) Pause(i int, d time.Duration) {
 	p := w.controllers[i]
 	p.pausedUntil = w.now.Add(d)
 	w.resumeWhenDue(p)
 }
 
-// PauseBefore pauses the first selected process that is about to send a matching effect for d: it
-// has decided, and acts on that only when it resumes.
+// PauseBefore pauses, for d, the first selected process that is about to send a matching effect.
+// The process sends the effect, which it decided on before the pause, only when it resumes.
 func (w *World) PauseBefore(d time.Duration, matches func(message.Effect) bool, selects func(*controllerProcess) bool) {
 	w.pauseDuration = d
 	w.pauseCondition = func(p *controllerProcess, e message.Effect) bool { return selects(p) && matches(e) }
 }
 
-// resumeWhenDue sends the held effects of a paused process when its pause is over.
+// resumeWhenDue schedules the end of a pause, at which the process sends its held effects.
 func (w *World) resumeWhenDue(p *controllerProcess) {
 	incarnation := p.incarnation
 	w.schedule(p.pausedUntil.Sub(w.now), func() {
@@ -173,7 +176,8 @@
 	})
 }
 
-// send carries an effect out unless its deadline has passed.
+// send executes an effect. If the deadline of the effect has passed, send executes or queues what
+// controller.CheckDeadline returns instead.
 func (p *controllerProcess) send(e message.Effect) {
 	if back, instead, late := controller.CheckDeadline(e, p.localTime()); late {
 		if back != nil {
@@ -186,7 +190,8 @@
 	p.execute(e)
 }
 
-// step runs the controller on the queued commands and sends its effects.
+// step passes the queued commands to the controller, sends the controller's effects and schedules
+// the next step.
 func (p *controllerProcess) step() {
 	if p.world.now.Before(p.pausedUntil) {
 		p.scheduleStep()
@@ -235,20 +240,21 @@
 	}
 }
 
-// call sends a request with a deadline. fail is what the controller gets if no answer came by then.
-// mayRepeat says that the request may also be carried out twice.
+// call sends a request with a deadline; exec executes it at the receiver. If no answer arrives by
+// the deadline, the controller gets fail instead. With mayRepeat the duplicate fault may execute
+// the request twice.
 func (p *controllerProcess) call(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command) {
 	p.callWithLimit(to, mayRepeat, deadline, exec, fail, nil)
 }
 
-// callState is a call to the state service. onRateLimited is called in place of an answer that
-// refuses the request for its rate.
+// callState is call for the state service. If the state service answers that a rate limit is
+// exceeded, onRateLimited is called and the controller does not get the answer.
 func (p *controllerProcess) callState(mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
 	p.callWithLimit("state", mayRepeat, deadline, exec, fail, onRateLimited)
 }
 
-// callWithLimit is call with onRateLimited, which may be nil for other targets than the state
-// service.
+// callWithLimit is call with onRateLimited as in callState. onRateLimited may be nil if the
+// receiver is not the state service.
 func (p *controllerProcess) callWithLimit(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
 	w, incarnation := p.world, p.incarnation
 	finished := false
@@ -275,8 +281,9 @@
 	w.schedule(deadline, func() { finish(fail) })
 }
 
-// sendStoreRequest is one attempt of a request to the state service. It is repeated until the time
-// given when it is refused for the rate.
+// sendStoreRequest sends a request to the state service. While the state service answers that a
+// rate limit is exceeded, sendStoreRequest sends the request again until the given time, as the
+// real client does.
 func (p *controllerProcess) sendStoreRequest(e message.StoreRequest, until time.Time) {
 	w, incarnation := p.world, p.incarnation
 	sent := p.localTime()
@@ -302,8 +309,8 @@
 			wasValid := !w.state.malformed(&e)
 			w.schedule(d, func() {
 				if wasValid && w.state.malformed(&e) {
-					// The limits were lowered while it was on its way: it is refused, and nobody
-					// waits for its answer.
+					// The limits were lowered while the request was on its way: the state service
+					// refuses the request, and nobody waits for the answer.
 					return
 				}
 				exec(func(message.Command) {})
@@ -325,8 +332,9 @@
 	})
 }
 
-// openWatch opens a watch. While the service is unavailable, or refuses this process, the watch
-// returns nothing: it is opened when that is over, unless the process has given it up by then.
+// openWatch opens a watch. While the state service is unavailable or refuses this controller, the
+// watch gets no answer. openWatch opens it again when the fault is over, unless the time until has
+// passed, when the process has given up the watch.
 func (p *controllerProcess) openWatch(e message.StoreRequest, until time.Time, answer func(message.StoreResponse)) {
 	w := p.world
 	unavailable := func() bool {
@@ -348,7 +356,7 @@
 	})
 }
 
-// execute carries out an effect.
+// execute executes an effect of the controller.
 func (p *controllerProcess) execute(e message.Effect) {
 	w := p.world
 	w.rankingCheck.onSend(p, e)
@@ -388,8 +396,8 @@
 	}
 }
 
-// executeStoreRequest sends a request to the state service once the rate limiter lets it through,
-// as the real client does.
+// executeStoreRequest sends a request to the state service when the process's rate limiter allows
+// it, as the real client does.
 func (p *controllerProcess) executeStoreRequest(e message.StoreRequest) {
 	w, incarnation := p.world, p.incarnation
 	d, ok := p.limiter.Reserve(w.now, e)
@@ -424,7 +432,7 @@
 	}, failed)
 }
 
-// reply hands the answer to a request to whoever sent it.
+// reply passes the answer to the function that the sender of request id registered.
 func (p *controllerProcess) reply(id uint64, e message.Effect) {
 	if fn := p.replies[id]; fn != nil {
 		delete(p.replies, id)
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -9,79 +9,88 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// DayParams are the parameters of a day. GenerateDay draws those that are 0 from the seed.
+// DayParams are the parameters of a simulated day. GenerateDay draws Teams, Controllers, Machines,
+// Minutes, HotFactor, FaultCount and Jobs if they are 0.
 type DayParams struct {
-	// Seed seeds all random numbers of the day.
+	// Seed is the seed of all random numbers of the day.
 	Seed uint64 `json:"seed"`
-	// Machines is about how many machines the cloud has.
-	Machines    int `json:"machines"`
+	// Machines is the approximate number of machines that the cloud has.
+	Machines int `json:"machines"`
+	// Teams is the number of teams, without the guest team, and Controllers the number of
+	// controllers.
 	Teams       int `json:"teams"`
 	Controllers int `json:"controllers"`
-	// Jobs is how many ordinary jobs are submitted.
+	// Jobs is the number of ordinary jobs: those without dependencies, models, and jobs that belong
+	// to a kind of fault.
 	Jobs int `json:"jobs"`
-	// FaultCount is how many listed faults there are; -1 means none.
+	// FaultCount is the number of listed faults; -1 means none.
 	FaultCount int `json:"faults"`
-	// Minutes is how long jobs are submitted.
+	// Minutes is how long ordinary jobs are submitted.
 	Minutes int `json:"minutes"`
-	// HotFactor is how many times the work of another team the first team has.
+	// HotFactor is the weight of the first team in the draw of a job's team; every other team has
+	// the weight 1.
 	HotFactor int `json:"hot"`
 	// UnlistedFaults adds the faults of unlisted_faults.go.
 	UnlistedFaults bool `json:"unlisted"`
 	// ProtocolFaults adds the faults of protocol_faults.go. It implies UnlistedFaults.
 	ProtocolFaults bool `json:"product,omitempty"`
 	// OverlappingFaults makes two or three faults of any kind overlap while users cancel many jobs;
-	// see overlaps.go. They replace drawn listed faults.
+	// see overlaps.go. Listed faults are then added only if FaultCount is positive.
 	OverlappingFaults bool `json:"meetings,omitempty"`
-	// Pipelines adds jobs with dependencies, and users who cancel some of them; see pipelines.go.
+	// Pipelines adds jobs with dependencies, some of which users cancel; see pipelines.go.
 	Pipelines bool `json:"pipelines,omitempty"`
-	// Models is how many machines with eight GPUs there are for models; see models.go.
+	// Models is the number of machines with eight GPUs for models; see models.go.
 	Models int `json:"models,omitempty"`
 	// MixedJobs varies the kinds of jobs and skews the controllers' clocks; see mixed_jobs.go.
 	MixedJobs bool `json:"mixed,omitempty"`
-	// CancelMarginS is by how many seconds the time in which a cancelled job's tasks must be gone
-	// exceeds the worker lease; 0 means defaultCancelMarginS.
+	// CancelMarginS is the number of seconds by which cancel_s, the time within which the tasks of
+	// a cancelled job must have ended, exceeds the worker lease; 0 means defaultCancelMarginS.
 	CancelMarginS int `json:"cancel_room_s,omitempty"`
-	// Enabled names the capabilities that are switched on: ranking, promises, models, or all.
+	// Enabled lists the capabilities that are switched on: ranking, promises, models, or all.
 	Enabled []string `json:"on,omitempty"`
 }
 
-// Day is a day that can be played: all its parameters are set.
+// Day is a day that RunDay can run: all its parameters are set.
 type Day struct {
 	DayParams
 	Settings controller.Settings `json:"-"`
-	Faults   []Fault             `json:"troubles"`
-	// Cancels is set on days with overlapping faults.
-	Cancels   *MassCancel `json:"cancels,omitempty"`
+	// Faults are all faults of the day, sorted by their begin.
+	Faults []Fault `json:"troubles"`
+	// Cancels is the mass cancellation of a day with overlapping faults, otherwise nil.
+	Cancels *MassCancel `json:"cancels,omitempty"`
+	// workloads are the workloads of the ordinary jobs.
 	workloads []workloadClass
-	// failingFraction is the part of the jobs that fail on every machine until their users cancel
-	// them.
+	// failingFraction is the fraction of the ordinary jobs that fail on every machine until their
+	// users cancel them.
 	failingFraction float64
-	// guestTeam is a team that first submits jobs in the middle of the day, if not empty.
+	// guestTeam is the name of a team that submits its first jobs during the day, or empty.
 	guestTeam string
 	// models are the day's models, in the order in which they were drawn.
 	models []modelJob
 }
 
-// workloadClass describes the jobs of one workload; the numbers are means.
+// workloadClass describes the jobs of one workload. The numbers are about the means of what is
+// drawn.
 type workloadClass struct {
 	// name is the workload's name.
 	name string
-	// cpu is how many CPUs a task needs.
+	// cpu is the number of CPUs that a task needs.
 	cpu float64
-	// tasks is how many tasks a job has.
+	// tasks is the number of tasks of a job.
 	tasks float64
-	// run is how long a task runs.
+	// run is the run time of a task.
 	run time.Duration
 	// imageGB is the size of the image, in GB.
 	imageGB float64
+	// urgency is the urgency of the jobs.
 	urgency model.Urgency
 	// dueFactor is the deadline as a multiple of the run time; 0 means no deadline.
 	dueFactor float64
-	// jobFraction is the part of the day's jobs that have this workload.
+	// jobFraction is the fraction of the day's ordinary jobs that have this workload.
 	jobFraction float64
 }
 
-// teamWeight is the weight of a team in the draw of a job's team.
+// teamWeight returns the weight of the team with an index in the draw of a job's team.
 func (d *Day) teamWeight(team int) float64 {
 	if team == 0 {
 		return float64(d.HotFactor)
@@ -89,7 +98,8 @@
 	return 1
 }
 
-// cloudInventory returns the machine types and how many machines there are of each, by capacityKey.
+// cloudInventory returns the machine types of the day's cloud and the number of machines, by
+// capacityKey.
 func (d *Day) cloudInventory() ([]model.MachineType, map[string]int) {
 	types := []model.MachineType{
 		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: d.Settings.Zones},
@@ -108,7 +118,8 @@
 	return types, capacity
 }
 
-// Shrink drops faults from a day as long as broken still holds of its result.
+// Shrink removes faults from a day one at a time, as long as broken still returns true for the
+// result of the day. progress is called with a message for each fault that was removed.
 func Shrink(d Day, broken func(DayResult) bool, progress func(string)) Day {
 	for again := true; again; {
 		again = false
--- a/internal/simulation/day_result.go
+++ b/internal/simulation/day_result.go
@@ -16,67 +16,71 @@
 	Max float64 `json:"max"`
 }
 
-// newHistogram makes a histogram of milliseconds, up to an hour.
+// newHistogram returns a histogram of milliseconds up to an hour.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 3_600_000, 3) }
 
-// recordMillis records a duration in milliseconds; less than one counts as one.
+// recordMillis records a duration in a histogram of milliseconds. A duration below 1 ms counts as 1
+// ms.
 func recordMillis(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(max(1, d.Milliseconds()))
 }
 
-// distributionOf returns the quantiles of a histogram of milliseconds.
+// distributionOf returns the distribution, in seconds, of a histogram of milliseconds.
 func distributionOf(h *hdrhistogram.Histogram) Distribution {
 	s := func(v int64) float64 { return float64(v) / 1000 }
 	return Distribution{s(h.ValueAtQuantile(50)), s(h.ValueAtQuantile(90)), s(h.Max())}
 }
 
-// Group is the outcome of a class of jobs, which is a workload, or of a team.
+// Group is the outcome of the jobs of a class or of a team. A class is all jobs of a workload.
 type Group struct {
 	Name string `json:"name"`
 	Jobs int    `json:"jobs"`
-	// ServedFraction is the part of the jobs that were served; see userJob.isServed.
+	// ServedFraction is the fraction of the jobs that were served; see userJob.isServed.
 	ServedFraction float64 `json:"served"`
-	// Tasks counts the tasks of the jobs, and CompletedFraction is the part of them that completed.
+	// Tasks is the number of the jobs' tasks, and CompletedFraction the fraction of the tasks that
+	// completed.
 	Tasks             int     `json:"tasks"`
 	CompletedFraction float64 `json:"ran"`
-	// Wait is the time from a job's submission to its first start, and Late by how much jobs ended
-	// after their deadline.
+	// Wait is the time from a job's submission, or from the end of its dependencies, to its first
+	// start. Late is the time from a job's deadline to its end; jobs that ended in time count as 1
+	// ms.
 	Wait Distribution `json:"wait_s"`
 	Late Distribution `json:"late_s"`
-	// Largest is set for classes.
+	// Largest is the outcome of the largest jobs of a class; it is nil for teams.
 	Largest *LargestJobs `json:"largest,omitempty"`
 }
 
 // DayResult is the outcome of a day.
 type DayResult struct {
 	Day
-	// Violations are the broken rules, as "rule at time: what".
+	// Violations are the rule violations, as "rule at time: description".
 	Violations []string `json:"broken"`
-	// Margins is the least time that was left to each timed rule.
+	// Margins has the smallest margin of each timed rule.
 	Margins    map[string]Margin `json:"slack"`
 	Classes    []Group           `json:"classes"`
 	TeamGroups []Group           `json:"team"`
-	// Starts counts starts of tasks.
+	// Starts counts task starts.
 	Starts int `json:"starts"`
-	// StartsAfterCancel counts starts after an answer said that the job is cancelled.
+	// StartsAfterCancel counts task starts after a controller answered that the job is cancelled.
 	StartsAfterCancel int `json:"started_cancelled"`
-	// LostToLease counts tasks that workers killed at the end of their lease.
+	// LostToLease counts tasks that workers killed because their worker lease expired.
 	LostToLease int `json:"lost_to_lease"`
 	// RefusedRequests counts users' requests that were answered 503.
 	RefusedRequests int `json:"refused"`
-	// WritesPerSecond is the rate of writes to the state service.
+	// WritesPerSecond is the mean rate of writes to the state service.
 	WritesPerSecond float64 `json:"changes_per_s"`
-	// RateLimited and MalformedRequests count requests to the state service that were answered 429
-	// and 400.
+	// RateLimited and MalformedRequests count the requests to the state service that were answered
+	// 429 and 400. LastMalformed is the error of the last malformed one. RentedMachines counts the
+	// machines that were rented.
 	RateLimited       int    `json:"state_429"`
 	MalformedRequests int    `json:"state_400"`
 	LastMalformed     string `json:"last_400,omitempty"`
 	RentedMachines    int    `json:"rented"`
-	// UnusedMachines counts machines that never ran a task.
+	// UnusedMachines counts the rented machines that never ran a task.
 	UnusedMachines int `json:"unused"`
-	// Cost is what the machines cost, in the unit of the cloud's hourly prices.
+	// Cost is the total cost of the machines, in the unit of the cloud's hourly prices.
 	Cost float64 `json:"money"`
-	// Log is the controllers' log.
+	// Log has the controllers' log lines.
 	Log []string `json:"-"`
 	// Promises is set on days with promises.
 	Promises *PromiseSummary `json:"dates,omitempty"`
@@ -84,8 +88,9 @@
 	ModelStats *ModelSummary `json:"model,omitempty"`
 }
 
-// Starved describes the classes and teams of which less than half was served, the classes of which
-// less than half of the largest jobs was served, and largest jobs that started late.
+// Starved describes the classes and teams of which less than half of the jobs were served or less
+// than half of the tasks completed, the classes of which less than half of the largest jobs were
+// served, and the largest jobs that started late.
 func (r *DayResult) Starved() []string {
 	var out []string
 	for _, g := range append(slices.Clone(r.Classes), r.TeamGroups...) {
@@ -102,7 +107,7 @@
 	return out
 }
 
-// summarize counts what became of the day's jobs and machines so far.
+// summarize returns the outcome of the day's jobs and machines so far.
 func (d *Day) summarize(w *World) DayResult {
 	r := DayResult{
 		Day: *d, Starts: w.Starts, StartsAfterCancel: w.StartsAfterCancel, LostToLease: w.LostToLease, RefusedRequests: w.RefusedRequests,
@@ -127,7 +132,7 @@
 	wait, late       *hdrhistogram.Histogram
 }
 
-// add counts a job, as it is at now.
+// add counts a job in its state at now.
 func (s *groupSums) add(j *userJob, now time.Time) {
 	s.jobs++
 	s.tasks += j.spec.Tasks
@@ -147,7 +152,7 @@
 	}
 }
 
-// summarizeGroups adds to a result what became of the classes and teams. Jobs that were cancelled,
+// summarizeGroups adds the outcome of the classes and teams to a result. Jobs that were cancelled,
 // always fail or are invalid are left out.
 func (d *Day) summarizeGroups(w *World, r *DayResult) {
 	sumsByGroup := map[string]*groupSums{}
@@ -184,7 +189,8 @@
 	}
 }
 
-// summarizeFleet adds to a result what the rented machines cost, and how many were never used.
+// summarizeFleet adds the cost of the rented machines and the number of unused ones to a result.
+// Each machine costs at least one minute.
 func (w *World) summarizeFleet(r *DayResult) {
 	for _, id := range w.machineIDs {
 		m := w.machines[id]
--- a/internal/simulation/dependency_checks.go
+++ b/internal/simulation/dependency_checks.go
@@ -9,14 +9,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// This file checks pipelines: no job starts before all its dependencies are done, and the
-// dependents of a cancelled job are cancelled in time and stay so.
+// This file checks the rules for jobs with dependencies: no job starts before all its dependencies
+// are done, and the dependents of a cancelled job are cancelled in time and stay cancelled.
 
-// RuleOrphaned is the rule that a job is not answered as queued or running later than cancel_s after an answer left
-// that says that a job before it is cancelled.
+// RuleOrphaned is the rule that a controller must not answer that a job is queued or running later
+// than cancel_s after a controller answered that one of the job's direct or indirect dependencies
+// is cancelled.
 const RuleOrphaned = "orphaned"
 
-// dependenciesDone reports whether all dependencies are done, by the workers' own results.
+// dependenciesDone reports whether all tasks of all dependencies are done on the workers.
 func (j *userJob) dependenciesDone() bool {
 	for _, n := range j.dependencies {
 		if n.tasksDoneAt.IsZero() {
@@ -26,8 +27,8 @@
 	return true
 }
 
-// eligibleSince returns since when a job could start: when the last of its dependencies was done,
-// and not before its submission. Deadlines count from the submission all the same.
+// eligibleSince returns the time from which a job could start: the end of its last dependency, or
+// its submission if that is later. Deadlines count from the submission in either case.
 func (j *userJob) eligibleSince() time.Time {
 	at := j.submitted
 	for _, n := range j.dependencies {
@@ -38,7 +39,8 @@
 	return at
 }
 
-// noteTasksDone notes when all tasks of a job are done.
+// noteTasksDone sets tasksDoneAt when all tasks of a job are done, and calls the hooks of this
+// milestone.
 func (w *World) noteTasksDone(j *userJob) {
 	if !j.tasksDoneAt.IsZero() || len(j.doneTasks) < j.spec.Tasks {
 		return
@@ -47,12 +49,12 @@
 	j.runHooks()
 }
 
-// isCancelled reports whether the user of a job, or of one before it, cancels without knowing that
-// it is done.
+// isCancelled reports whether the user cancelled the job or one of its direct or indirect
+// dependencies that the user does not know to be done.
 func (j *userJob) isCancelled() bool { return j.cancelRequested || j.dependsOnCancelled() }
 
-// dependsOnCancelled reports whether a job before it is cancelled by a user who does not know that
-// it is done. The dependents of a done job go on.
+// dependsOnCancelled reports whether one of the job's direct or indirect dependencies is cancelled
+// and not known to be done. The cancellation of a done job has no effect on its dependents.
 func (j *userJob) dependsOnCancelled() bool {
 	for _, n := range j.dependencies {
 		if n.lastState != "done" && n.isCancelled() {
@@ -62,8 +64,9 @@
 	return false
 }
 
-// cancelledSince returns since when a user may know that a job is cancelled, itself or through one
-// before it: since the first answer left that says so of one of them.
+// cancelledSince returns the time since which a job counts as cancelled: when a controller sent the
+// first answer that says that the job or one of its direct or indirect dependencies is cancelled.
+// It is the zero time if no controller did.
 func (j *userJob) cancelledSince() time.Time {
 	since := j.cancelledAt
 	for _, n := range j.dependencies {
@@ -74,8 +77,8 @@
 	return since
 }
 
-// checkDependencies checks at the start of a task that all tasks of the dependencies are done and
-// that the state service has them as done, which a cancelled job never is.
+// checkDependencies checks at the start of a task that all tasks of the job's dependencies are done
+// and that the records in the state service say so. The record of a cancelled job never does.
 func (w *World) checkDependencies(j *userJob, name string) {
 	for _, n := range j.dependencies {
 		if n.tasksDoneAt.IsZero() {
@@ -86,7 +89,7 @@
 	}
 }
 
-// isJobDone reports whether a job's record says that it is done.
+// isJobDone reports whether the record of a job says that the job is done.
 func (s *StateService) isJobDone(id string) bool {
 	row := s.records["job/"+id]
 	var r struct {
@@ -95,8 +98,8 @@
 	return row != nil && msgpack.Unmarshal(row.value, &r) == nil && r.Status == model.Done
 }
 
-// checkDependents checks, when an answer says that a job is cancelled, that no dependent has
-// started.
+// checkDependents checks that no dependent of a job has started. It is called when a controller
+// first answers that the job is cancelled.
 func (w *World) checkDependents(j *userJob) {
 	for _, f := range j.dependents {
 		if len(f.firstStarts) > 0 {
@@ -105,8 +108,8 @@
 	}
 }
 
-// checkOrphan checks an answer that leaves a controller or reaches a user. For a job that was
-// submitted after a job before it was cancelled, the time counts from its submission.
+// checkOrphan checks RuleOrphaned for an answer that a controller sends or a user receives. If the
+// job was submitted after its dependency was cancelled, the time counts from the submission.
 func (w *World) checkOrphan(j *userJob, r *message.UserReply) {
 	if len(j.dependencies) == 0 || r.Status != http.StatusOK || isFinal(r.State) {
 		return
@@ -126,8 +129,9 @@
 	}
 }
 
-// checkDependencyOutcomes checks at the end of a day that a job is cancelled only if its user or a
-// dependency was, and that none is done with a dependency that is cancelled.
+// checkDependencyOutcomes checks at the end of a day that a job is cancelled only if its user
+// cancelled it or a dependency is cancelled, and that no job is done of which a dependency is
+// cancelled.
 func (w *World) checkDependencyOutcomes() {
 	for _, id := range sortedKeys(w.jobs) {
 		j, cancelledDependency := w.jobs[id], ""
--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -12,71 +12,76 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has the faults that were added last: users who cancel much at once or at the moment of
-// an end, who ask all controllers within milliseconds or send invalid requests; machines that reach
-// no controller; delayed direct commands; copies of heartbeats that are kept for the next leader;
+// This file has further faults: users who cancel many jobs at a time, cancel jobs when the last
+// task is done, ask all controllers within milliseconds or send invalid requests; machines that
+// reach no controller; delayed direct commands; copies of heartbeats that the next leader receives;
 // and slow controllers.
 
-// extraFaultKinds are these faults. A kind that stands more often is drawn more often. A name with
-// a point is a variant of the kind before the point.
+// extraFaultKinds are the kinds of the faults of this file. Faults are drawn uniformly from the
+// list, so a repeated kind is drawn more often. A name with a point means a variant of the kind
+// before the point.
 var extraFaultKinds = []string{
 	"cancel_now", "cancel_now", "cancel_at_end", "machine_mute", "machine_mute", "odd_requests", "close_looks",
 	"late_writes.at_once", "copies.for_next", "copies.for_next", "late_commands", "late_commands", "late_commands", "slow_node",
 }
 
 const (
-	// massCancelWithin is how soon cancel_now cancels its jobs, maxHungMachines how many of their
-	// machines hang at most, and minRemainingRunTime the run time that tasks must have left for
-	// their job to be chosen.
+	// massCancelWithin is the time within which cancel_now cancels its jobs. maxHungMachines is the
+	// maximum number of their machines that hang. minRemainingRunTime is the run time that a task
+	// of a job must have left for the job to be cancelled.
 	massCancelWithin    = 200 * time.Millisecond
 	maxHungMachines     = 8
 	minRemainingRunTime = 20 * time.Second
-	// minCommandDelay and maxCommandDelay bound how late a delayed direct command is carried out.
+	// minCommandDelay and maxCommandDelay bound the delay of a delayed direct command.
 	minCommandDelay = 2 * time.Second
 	maxCommandDelay = 16 * time.Second
-	// invalidRequestInterval is how often an invalid request is sent.
+	// invalidRequestInterval is the mean interval between invalid requests.
 	invalidRequestInterval = 250 * time.Millisecond
-	// concurrentReadWindow is how soon users ask all controllers, readsPerController how often
-	// each; one in cancelOneIn cancels at once.
+	// concurrentReadWindow is the time within which a user queries all controllers, and
+	// readsPerController the number of queries to each. One in cancelOneIn of these users cancels
+	// the job in the same window.
 	concurrentReadWindow = 20 * time.Millisecond
 	readsPerController   = 2
 	cancelOneIn          = 10
-	// stepBaseTime is about what a controller's step takes, and stepItemTime what each command and
-	// effect adds.
+	// stepBaseTime is the usual duration of a controller's step, and stepItemTime the time that
+	// each command and effect adds to it.
 	stepBaseTime = time.Millisecond
 	stepItemTime = 200 * time.Microsecond
-	// maxHeldHeartbeats bounds the copies that are kept for the next leader.
+	// maxHeldHeartbeats is the maximum number of heartbeat copies that are kept for the next
+	// leader.
 	maxHeldHeartbeats = 1000
 )
 
-// extraFaultState is the state of these faults in a world.
+// extraFaultState is the state of this file's faults in a world.
 type extraFaultState struct {
-	// lateCommandRate is the part of the direct commands that are delayed, until lateCommandsUntil.
+	// lateCommandRate is the fraction of the direct commands that are delayed. The fault lasts
+	// until lateCommandsUntil.
 	lateCommandRate   float64
 	lateCommandsUntil time.Time
-	// lateCommandsDone counts delayed commands that were carried out, and heartbeatsReplayed copies
-	// that reached a next leader.
+	// lateCommandsDone counts the delayed commands that a worker accepted. heartbeatsReplayed
+	// counts the kept heartbeats that were sent after a change of the leader.
 	lateCommandsDone, heartbeatsReplayed int
-	// cancelAtEndRate is the part of the jobs that are cancelled at their end, until
-	// cancelAtEndUntil.
+	// cancelAtEndRate is the fraction of the jobs that are cancelled when their last task is done.
+	// The fault lasts until cancelAtEndUntil.
 	cancelAtEndRate  float64
 	cancelAtEndUntil time.Time
-	// invalidRequestsUntil and concurrentReadsUntil: until then users send invalid requests, or
-	// read concurrently.
+	// invalidRequestsUntil and concurrentReadsUntil are the times until which users send invalid
+	// requests and concurrent reads.
 	invalidRequestsUntil, concurrentReadsUntil time.Time
-	// loseWriteResponses: late writes are carried out at once, and only the answer is lost.
+	// loseWriteResponses makes late writes execute at once, so that only their answers are lost.
 	loseWriteResponses bool
-	// replayToNextLeader: copies of heartbeats are kept in heldHeartbeats until another controller
-	// leads than leaderAtCapture, or until holdHeartbeatsUntil.
+	// replayToNextLeader makes the world keep copies of heartbeats in heldHeartbeats. The copies
+	// are sent when a controller other than leaderAtCapture is the leader, and dropped at
+	// holdHeartbeatsUntil.
 	replayToNextLeader  bool
 	heldHeartbeats      []model.Heartbeat
 	holdHeartbeatsUntil time.Time
 	leaderAtCapture     string
-	// invalidJobs counts submissions of invalid jobs.
+	// invalidJobs counts the invalid jobs that were submitted.
 	invalidJobs int
 }
 
-// generateExtraFault draws one of this file's faults, without its begin.
+// generateExtraFault draws a fault of this file. The caller sets At.
 func (d *Day) generateExtraFault(rng *rand.Rand) Fault {
 	kind := extraFaultKinds[rng.IntN(len(extraFaultKinds))]
 	oneOf := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
@@ -107,7 +112,7 @@
 	return f
 }
 
-// startExtraFault begins a fault of this file, and reports whether it is one.
+// startExtraFault begins a fault if its kind belongs to this file, and reports whether it does.
 func (w *World) startExtraFault(f Fault, rng *rand.Rand) bool {
 	until := w.now.Add(f.Duration)
 	switch f.Kind {
@@ -132,8 +137,9 @@
 	return true
 }
 
-// CancelLongRunning cancels up to count jobs that run and have long to go, within massCancelWithin.
-// Up to maxHungMachines of their machines hang for that long, unless hang is 0.
+// CancelLongRunning cancels up to count running jobs within massCancelWithin: the jobs with the
+// longest remaining run time, of at least minRemainingRunTime. Up to maxHungMachines of their
+// machines hang for the duration hang from the cancellation on.
 func (w *World) CancelLongRunning(count int, hang time.Duration) {
 	remaining := map[string]time.Duration{}
 	for _, id := range sortedKeys(w.jobs) {
@@ -160,7 +166,7 @@
 	}
 }
 
-// eachRunningTask calls fn with all attempts of a job that are on machines.
+// eachRunningTask calls fn with each attempt of a job that takes resources of a machine.
 func (w *World) eachRunningTask(j *userJob, fn func(*workerTask, *Worker)) {
 	for i := range j.spec.Tasks {
 		for _, m := range j.machines[i] {
@@ -173,7 +179,8 @@
 	}
 }
 
-// maybeCancelAtEnd cancels some jobs at the moment when their last task is done.
+// maybeCancelAtEnd cancels a job whose last task is done, with probability cancelAtEndRate while
+// the fault lasts.
 func (w *World) maybeCancelAtEnd(j *userJob) {
 	if len(j.doneTasks) < j.spec.Tasks || j.cancelRequested || !w.now.Before(w.cancelAtEndUntil) || w.rng.Float64() >= w.cancelAtEndRate {
 		return
@@ -181,8 +188,8 @@
 	w.Cancel(j.spec.ID)
 }
 
-// MakeUnheard keeps machines from reaching any controller for d, while direct requests reach them
-// and are answered.
+// MakeUnheard keeps the heartbeats of machines from reaching any controller for d. Direct requests
+// still reach the machines and are answered.
 func (w *World) MakeUnheard(ids []string, d time.Duration) {
 	for _, id := range ids {
 		if m := w.machines[id]; m != nil {
@@ -191,7 +198,8 @@
 	}
 }
 
-// delayForCompute pauses a slow process for what a step took, before it sends the effects.
+// delayForCompute pauses a slow process for the duration of a step, so that it sends the effects of
+// the step later.
 func (p *controllerProcess) delayForCompute(commands, effects int) {
 	w := p.world
 	if !w.now.Before(p.slowUntil) || commands+effects == 0 || w.now.Before(p.pausedUntil) {
@@ -202,13 +210,15 @@
 	w.resumeWhenDue(p)
 }
 
-// DelayCommands delays a part of the direct commands of the next d. They get no answer, and are
-// carried out once, late, if epoch and incarnation still match.
+// DelayCommands delays a fraction of the direct commands that controllers send during the next d. A
+// delayed command gets no answer. The worker executes it once, late, if epoch and incarnation still
+// match.
 func (w *World) DelayCommands(fraction float64, d time.Duration) {
 	w.lateCommandRate, w.lateCommandsUntil = fraction, w.now.Add(d)
 }
 
-// delayCommand reports whether a direct request to m is delayed, and delivers it later.
+// delayCommand decides whether a direct request to m is delayed and reports it. It schedules the
+// delivery of a delayed request, which is lost if the worker restarts before.
 func (p *controllerProcess) delayCommand(m *Worker, op message.WorkerRequest) bool {
 	w := p.world
 	if op.StatusOnly || !w.now.Before(w.lateCommandsUntil) || w.rng.Float64() >= w.lateCommandRate {
@@ -239,8 +249,8 @@
 	}
 }
 
-// replayHeldHeartbeats delivers the kept copies to every controller, in random order, as soon as
-// another one leads.
+// replayHeldHeartbeats delivers the kept heartbeats to every controller, in random order within a
+// second, as soon as another controller is the leader.
 func (w *World) replayHeldHeartbeats() {
 	if len(w.heldHeartbeats) == 0 {
 		return
@@ -265,8 +275,9 @@
 	}
 }
 
-// readConcurrently queries a job at all controllers within milliseconds of an answer about it, and
-// repeats its submission. Some users cancel at once.
+// readConcurrently queries a job and repeats its submission at all controllers within
+// concurrentReadWindow, while the fault lasts. It is called after an answer with a new state. Some
+// users also cancel the job.
 func (w *World) readConcurrently(j *userJob) {
 	if !w.now.Before(w.concurrentReadsUntil) {
 		return
@@ -288,11 +299,12 @@
 	}
 }
 
-// isFinal reports whether a job's state is final.
+// isFinal reports whether a job in this state stays in it.
 func isFinal(state string) bool { return state == "done" || state == "cancelled" }
 
-// checkedRequest sends a request about a job to one controller. The answer must not be older than
-// what the user knew when it was sent.
+// checkedRequest sends a request about an accepted job to one controller. The answer must agree
+// with what the user knew when he sent the request: the job exists, and a final state has not
+// changed.
 func (w *World) checkedRequest(to int, j *userJob, newCommand func(uint64) message.Command) {
 	id, lastState, requestedAt := j.spec.ID, j.lastState, w.now
 	w.userRequestTo(to, newCommand, 2*time.Second, func(r *message.UserReply) {
@@ -309,8 +321,8 @@
 	})
 }
 
-// SendInvalidRequests repeats submissions of unfinished jobs, cancels done ones, and submits jobs
-// that fit no machine or lack a field, for d.
+// SendInvalidRequests makes users send superfluous and invalid requests for d: they submit
+// unfinished jobs again, cancel done jobs, and submit jobs that fit no machine or lack a field.
 func (w *World) SendInvalidRequests(d time.Duration) {
 	running := w.now.Before(w.invalidRequestsUntil)
 	w.invalidRequestsUntil = w.now.Add(d)
@@ -319,7 +331,7 @@
 	}
 }
 
-// sendNextInvalidRequest sends one such request and schedules the next.
+// sendNextInvalidRequest sends one request of SendInvalidRequests and schedules the next.
 func (w *World) sendNextInvalidRequest() {
 	if !w.now.Before(w.invalidRequestsUntil) {
 		return
@@ -346,8 +358,8 @@
 	}
 }
 
-// submitInvalidJob submits a job like s that fits no machine, names something unknown, or lacks a
-// field. It must not be accepted.
+// submitInvalidJob submits a variant of s that fits no machine, names an unknown machine type, zone
+// or team, or lacks a field. The controllers must not accept it.
 func (w *World) submitInvalidJob(s model.JobSpec) {
 	w.invalidJobs++
 	s.ID = fmt.Sprintf("job-8%05d", w.invalidJobs)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Fault is a fault of a day. Which fields count depends on the kind.
+// Fault is a fault of a day. The kind determines which of the other fields have a meaning.
 type Fault struct {
 	// At is when the fault begins, counted from the day's begin.
 	At       time.Duration `json:"at_ns"`
@@ -18,33 +18,39 @@
 	Kind string `json:"kind"`
 	// Controller is the index of a controller.
 	Controller int `json:"node"`
-	// Link is what the controller is cut off from: state, workers, peers, cloud, user, or * for
-	// all. For cut_alone it is refused or empty.
+	// Link is the end that the controller can't reach: state, workers, peers, cloud, user, or * for
+	// all. For cut_alone it is empty or refused; refused means that the state service refuses the
+	// controller instead of being cut off.
 	Link string `json:"link,omitempty"`
-	// HoldMessages delivers messages after the fault instead of losing them. Some kinds use it as
-	// their one random choice.
+	// HoldMessages delivers messages after the fault instead of losing them. Kinds that lose no
+	// messages use it for another choice: one_way loses the controller's messages if it is set and
+	// the messages to the controller otherwise, and the last crash of election hits all controllers
+	// if it is set.
 	HoldMessages bool `json:"hold,omitempty"`
-	// Fraction is the part of the machines, messages or jobs that are affected. boots and polls use
-	// it as a factor.
+	// Fraction is the fraction of the machines, messages or jobs that are affected. The kinds boots
+	// and polls use it as a factor: of the provisioning time, and of the rate of queries.
 	Fraction float64 `json:"share,omitempty"`
-	// RestartAfter is how soon a process that ends is started again.
+	// RestartAfter is the time after which a crashed process is started again.
 	RestartAfter time.Duration `json:"back_ns,omitempty"`
-	// Delay is how much later than the first a second event of the fault comes.
+	// Delay is the time between the first and the second event of the fault; for copies it is the
+	// largest delay of a copy.
 	Delay time.Duration `json:"late_ns,omitempty"`
-	// Zone limits a fault of machines to one zone, if not empty.
+	// Zone limits a fault of machines to one zone; empty means all zones.
 	Zone string `json:"zone,omitempty"`
-	// SlowFactor is how many times slower something gets.
+	// SlowFactor is the factor by which the state service or a controller is slower.
 	SlowFactor float64 `json:"times,omitempty"`
-	// Busiest replaces Controller with the controller that most machines send heartbeats to.
+	// Busiest selects the controller that most machines send heartbeats to, instead of Controller.
 	Busiest bool `json:"busiest,omitempty"`
 	// Count is how many jobs are affected.
 	Count int `json:"count,omitempty"`
-	// Immediate carries late writes out at once and loses only their answers.
+	// Immediate makes late_writes execute the transactions at once and lose only their answers.
 	Immediate bool `json:"at_once,omitempty"`
-	// ForNextLeader keeps copies of heartbeats for the next leader.
+	// ForNextLeader makes copies keep the copies of heartbeats until another controller is the
+	// leader.
 	ForNextLeader bool `json:"for_next,omitempty"`
 }
 
+// String describes the fault for reports of days.
 func (f Fault) String() string {
 	s := fmt.Sprintf("%.0fs %s", f.At.Seconds(), f.Kind)
 	if f.Link != "" {
@@ -72,14 +78,15 @@
 	return fmt.Sprintf("%s for %.0fs hold=%v", s, f.Duration.Seconds(), f.HoldMessages)
 }
 
-// faultKinds are the listed faults. A kind that stands more often is drawn more often.
+// faultKinds are the kinds of the faults that the operators listed. Faults are drawn uniformly from
+// the list, so a repeated kind is drawn more often.
 var faultKinds = []string{"crash", "crash", "crash_all", "cut", "cut", "cut", "refused", "outage", "cloud", "still", "die", "hang", "hang", "machine_cut", "machine_cut", "taken", "slow_state", "roll"}
 
-// defaultSlowFactor is how many times slower a slow state service is if a fault has no SlowFactor.
+// defaultSlowFactor is the SlowFactor of slow_state if a fault has none.
 const defaultSlowFactor = 20.0
 
-// endsAt returns when a fault is over, counted from the day's begin. controllers is the number of
-// controllers.
+// endsAt returns the end of a fault including its delayed effects, counted from the day's begin.
+// controllers is the number of controllers.
 func (f Fault) endsAt(controllers int) time.Duration {
 	end := f.At + f.Duration + f.RestartAfter
 	switch f.Kind {
@@ -105,9 +112,10 @@
 	return end
 }
 
-// noCapacityUntil returns the end of a fault during which jobs are not expected to start, or 0 for
-// any other fault: the cloud has hardly any machines or rented ones do not become ready in time, no
-// start can be recorded, or no controller runs.
+// noCapacityUntil returns the end of the time during which a fault keeps jobs from starting, or 0
+// if the fault does not keep jobs from starting. Jobs can't start while the cloud has hardly any
+// machines, rented machines do not become ready in time, the state service can't record starts, or
+// no controller runs.
 func (f Fault) noCapacityUntil(controllers int) time.Duration {
 	switch f.Kind {
 	case "cloud", "capacity", "outage", "refused_outage", "crash_all", "again_all":
@@ -120,7 +128,8 @@
 	return 0
 }
 
-// noCapacityFrom returns when jobs cease to be expected to start.
+// noCapacityFrom returns the begin of the time during which a fault keeps jobs from starting; see
+// noCapacityUntil.
 func (f Fault) noCapacityFrom() time.Duration {
 	if f.Kind == "refused_outage" {
 		return f.At + f.Delay
@@ -128,7 +137,7 @@
 	return f.At
 }
 
-// forSample calls fn with a random part of the machines that are up.
+// forSample calls fn with each machine that is up, with probability fraction.
 func (w *World) forSample(fraction float64, rng *rand.Rand, fn func(*Worker)) {
 	for _, m := range slices.Clone(w.fleet) {
 		if m.up(w.now) && rng.Float64() < fraction {
@@ -194,7 +203,7 @@
 	}
 }
 
-// sortFaults sorts the faults by their begin.
+// sortFaults sorts the faults by their begin; faults with the same begin keep their order.
 func (d *Day) sortFaults() {
 	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/simulation/generate_day.go
+++ b/internal/simulation/generate_day.go
@@ -12,9 +12,9 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// dayStream seeds the random numbers of a day's parameters and listed faults. Each kind of
-// addition draws from a stream of its own, so that switching one on leaves the rest of the day as
-// it is.
+// dayStream is the second seed word of the random stream for a day's parameters and listed faults.
+// Each optional part of a day has its own stream, so that adding the part leaves the rest of the
+// day the same.
 const dayStream = 4711
 
 // GenerateDay draws a day from the seed of the parameters. The same parameters give the same day.
@@ -29,8 +29,8 @@
 		{"batch", 2, 10, 30 * time.Second, 1, model.Normal, 2, 0.45},
 		{"wide", 8, 12, 40 * time.Second, 3, model.Normal, 0, 0.1},
 	}
-	// The listed faults are drawn even if they are dropped, as they always were: files of days that
-	// name a seed depend on it.
+	// The listed faults are drawn even if they are not kept: existing day files and seeds depend on
+	// the random numbers that follow.
 	if listed := d.generateListedFaults(rng); keepListed {
 		d.Faults = listed
 	}
@@ -54,10 +54,10 @@
 	return d
 }
 
-// drawMissing sets the parameters that are 0.
+// drawMissing draws the parameters that are 0.
 func (p *DayParams) drawMissing(rng *rand.Rand) {
-	// Every value is drawn, also where it is not needed: setting one parameter leaves the others as
-	// they are.
+	// Every value is drawn, also for a parameter that is set, so that setting one parameter does
+	// not change the others.
 	setIfZero := func(v *int, draw func() int) {
 		if d := draw(); *v == 0 {
 			*v = d
@@ -69,7 +69,8 @@
 	setIfZero(&p.Minutes, func() int { return 4 })
 	setIfZero(&p.HotFactor, func() int { return []int{1, 1, 3, 10}[rng.IntN(4)] })
 	setIfZero(&p.FaultCount, func() int { return 1 + rng.IntN(9) })
-	// A task takes a machine of four CPUs for some 30 s; the fleet should be half full.
+	// A task takes a machine of four CPUs for about 30 s, and a job has about 8 tasks. This number
+	// of jobs uses half of the fleet.
 	setIfZero(&p.Jobs, func() int { return max(10, int(float64(p.Machines)*float64(p.Minutes)*60/30/2/8)) })
 }
 
@@ -80,7 +81,7 @@
 	settings := controller.Settings{
 		Zones: []string{"a", "b"}[:1+rng.IntN(2)], HeartbeatInterval: time.Duration(3+rng.IntN(6)) * time.Second,
 		MaxTxnWrites: 4 + rng.IntN(20), MaxValueBytes: valueBytes, CloudListLag: time.Duration(2+rng.IntN(9)) * time.Second, CloudRequestsPerSecond: 3 + 7*rng.Float64(),
-		// Tight, but enough for the day's work.
+		// The limits are close to what the day's jobs need.
 		StoreWritesPerSecond:   10 + startsPerSecond + 3*float64(d.Jobs)/float64(d.Minutes*60) + 5*rng.Float64(),
 		StoreRequestsPerSecond: 20*float64(d.Controllers) + 2*startsPerSecond,
 		Policy:                 controller.DefaultPolicy(),
@@ -90,7 +91,7 @@
 	for i := range d.Teams {
 		t := model.Team{Name: fmt.Sprintf("team-%c", 'a'+i)}
 		if rng.IntN(4) == 0 {
-			// Enough for the team's part of the work.
+			// The quota limit allows the team's share of the fleet.
 			t.QuotaLimit.CPU = math.Round(max(32, float64(d.Machines)*4*d.teamWeight(i)/(float64(d.Teams)-1+float64(d.HotFactor))))
 		}
 		if rng.IntN(5) == 0 {
@@ -123,8 +124,8 @@
 		}
 		faults = append(faults, f)
 	}
-	// Not the stable order of sortFaults: faults of the same second keep the order that seeds have
-	// always given them.
+	// A stable sort would change the order of faults of the same second, and with it the days of
+	// existing seeds.
 	slices.SortFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 	return faults
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -5,16 +5,19 @@
 	"time"
 )
 
-// This file has the links between all parts of a world, and how they break.
+// This file models partitions of the links between the parts of a world. The ends of a link are
+// controllers and machines, which have their own names, and state, cloud, user and workers, where
+// workers means all machines.
 
-// partition is a broken link. What is sent over it is lost, or held and delivered when the
-// partition ends.
+// partition is a link that is broken in both directions. Messages over it are lost or, with
+// holdMessages, held and delivered when the partition ends.
 type partition struct {
 	holdMessages bool
 	heldMessages []func()
 }
 
-// Partition breaks the links between a and b for d; "*" as b means all others.
+// Partition breaks the link between a and b for d. "*" as b means all other ends. With hold the
+// messages are delivered when the partition ends, otherwise they are lost.
 func (w *World) Partition(a, b string, d time.Duration, hold bool) {
 	key := a + "|" + b
 	c := &partition{holdMessages: hold}
@@ -29,14 +32,15 @@
 	})
 }
 
-// partitionOneWay loses what a sends to b for d, but not what b sends to a; "*" means all others.
+// partitionOneWay drops the messages from a to b for d, but not those from b to a. "*" means all
+// ends.
 func (w *World) partitionOneWay(a, b string, d time.Duration) {
 	key := a + ">" + b
 	w.oneWayPartitions[key]++
 	w.schedule(d, func() { w.oneWayPartitions[key]-- })
 }
 
-// isPartitionedOneWay reports whether what a sends to b is lost.
+// isPartitionedOneWay reports whether a one-way partition drops the messages from a to b.
 func (w *World) isPartitionedOneWay(a, b string) bool {
 	for _, x := range [...]string{linkEnd(a), "*"} {
 		for _, y := range [...]string{linkEnd(b), "*"} {
@@ -48,7 +52,7 @@
 	return false
 }
 
-// linkEnd gives all workers the same name.
+// linkEnd returns workers for a machine's id and any other name unchanged.
 func linkEnd(s string) string {
 	if strings.HasPrefix(s, "vm-") {
 		return "workers"
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -13,11 +13,11 @@
 	"golang.org/x/time/rate"
 )
 
-// Live serves the models over HTTP in real time, so that whole controllers can be tested with their
-// clients: encodings, limits and errors. It encodes messages with code of its own, written from the
-// protocol: the controllers' own types would agree with their own mistakes.
+// Live serves the models over HTTP in real time. Tests run whole controllers with their clients
+// against it, including encodings, limits and errors. Live has its own code for the protocol's
+// encoding; sharing the controllers' types would hide their mistakes.
 type Live struct {
-	// mu guards everything that changes after NewLive, but for traffic. The world's time is set to
+	// mu guards all fields that change after NewLive, except traffic. The world's time is set to
 	// the real time under mu.
 	mu               sync.Mutex
 	world            *World
@@ -26,24 +26,25 @@
 	writeLimiter     *rate.Limiter
 	storeUnavailable bool
 	servers          []*httptest.Server
-	// machineServers serve the machines' own addresses, and heartbeatClients send their heartbeats.
+	// machineServers serve the machines' addresses, and heartbeatClients send the machines'
+	// heartbeats.
 	machineServers   map[*Worker]*httptest.Server
 	heartbeatClients map[*Worker]*http.Client
 	counts           LiveCounts
 	traffic          liveTraffic
-	// running counts the goroutines that Stop waits for, and cancelRequests ends their requests.
-	// They are started under mu, and none once stopped is set.
+	// running counts the goroutines that Stop waits for, and cancelRequests cancels their requests.
+	// The goroutines are started under mu, and none is started once stopped is set.
 	running        sync.WaitGroup
 	stopped        bool
 	requests       context.Context
 	cancelRequests context.CancelFunc
-	// StateAddr and CloudAddr are the host:port of the state service and the cloud.
+	// StateAddr and CloudAddr are the addresses (host:port) of the state service and the cloud.
 	StateAddr string
 	CloudAddr string
 }
 
-// NewLive starts the state service and the cloud. controllers are the addresses that workers send
-// heartbeats to. Stop ends all servers.
+// NewLive starts the servers of the state service and the cloud. controllers are the addresses that
+// workers send heartbeats to. The caller calls Stop to end all servers.
 func NewLive(settings controller.Settings, requestsPerSecond, writesPerSecond float64, types []model.MachineType, capacity map[string]int, controllers []string) *Live {
 	l := &Live{
 		controllers: controllers, requestLimiter: rate.NewLimiter(rate.Limit(requestsPerSecond), int(requestsPerSecond)), writeLimiter: rate.NewLimiter(rate.Limit(writesPerSecond), int(writesPerSecond)),
@@ -65,7 +66,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// Run advances the machines in real time until the context ends or Stop is called.
+// Run advances the machines in real time until ctx is done or Stop is called.
 func (l *Live) Run(ctx context.Context) {
 	const step = 20 * time.Millisecond
 	t := time.NewTicker(step)
@@ -91,7 +92,7 @@
 	}
 }
 
-// Stop ends the servers and all requests, and returns when their goroutines have ended.
+// Stop closes the servers, cancels all requests, and returns when their goroutines have ended.
 func (l *Live) Stop() {
 	l.mu.Lock()
 	l.stopped = true
@@ -109,8 +110,8 @@
 	l.running.Wait()
 }
 
-// SetStoreUnavailable makes the state service unavailable or available again. Afterwards every
-// lease has its full time again.
+// SetStoreUnavailable makes the state service unavailable or available again. When the service
+// becomes available, every lease is renewed to its full TTL.
 func (l *Live) SetStoreUnavailable(unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,29 +121,31 @@
 	}
 }
 
-// AddJob makes a job known to the workers. run is how long its tasks run.
+// AddJob makes a job known to the workers. run is the run time of its tasks.
 func (l *Live) AddJob(spec model.JobSpec, run time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.world.jobs[spec.ID] = newUserJob(spec, run)
 }
 
-// SetJobSource makes workers fetch the specifications of unknown jobs from fn, which is called with
-// a job's id.
+// SetJobSource makes workers get the specification and run time of unknown jobs from fn, which is
+// called with a job's id.
 func (l *Live) SetJobSource(fn func(id string) (model.JobSpec, time.Duration, bool)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.world.jobSource = fn
 }
 
-// SetCapacity sets how many machines of a kind, such as box/a/true, the cloud has left.
+// SetCapacity sets the number of machines that can still be rented, for a key such as box/a/true;
+// see capacityKey.
 func (l *Live) SetCapacity(kind string, machines int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.world.cloudCapacity[kind] = machines
 }
 
-// RunningTasks returns the names of the tasks on machines, and how many starts there were so far.
+// RunningTasks returns the names of the tasks that take resources of living machines, and the
+// number of task starts so far.
 func (l *Live) RunningTasks() (tasks []string, started int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,7 +160,7 @@
 	return tasks, l.world.Starts
 }
 
-// Violations returns the broken rules.
+// Violations returns a copy of the rule violations found so far.
 func (l *Live) Violations() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulation/live_cloud.go
+++ b/internal/simulation/live_cloud.go
@@ -7,7 +7,7 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// serveCloud serves the cloud.
+// serveCloud handles HTTP requests to the cloud.
 func (l *Live) serveCloud(rw http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/simulation/live_counts.go
+++ b/internal/simulation/live_counts.go
@@ -11,39 +11,41 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// LiveCounts is what a live world has counted since it began. Bytes are those of the connections,
+// LiveCounts has the counters of a Live since its start. Bytes are counted on the connections,
 // headers included.
 type LiveCounts struct {
-	// Heartbeats counts heartbeats by the HTTP status of their answer; 0 means that there was none.
+	// Heartbeats counts heartbeats by the HTTP status of their answer; 0 stands for no answer.
 	Heartbeats map[int]int `json:"reports"`
 	// HeartbeatBytesOut and HeartbeatBytesIn are the bytes of heartbeats and of their answers.
 	HeartbeatBytesOut int64 `json:"report_bytes_out"`
 	HeartbeatBytesIn  int64 `json:"report_bytes_in"`
 	// Commands counts direct requests to workers by path. CommandBytesOut and CommandBytesIn are
-	// the bytes out of and into the workers.
+	// the bytes that the workers sent and received on these connections.
 	Commands        map[string]int `json:"orders"`
 	CommandBytesOut int64          `json:"order_bytes_out"`
 	CommandBytesIn  int64          `json:"order_bytes_in"`
-	// Requests counts requests to the state service by kind, Writes its writes by the first part of
-	// their keys, and RateLimited the requests that were answered 429.
+	// Requests counts requests to the state service by kind. Writes counts writes by the first
+	// segment of their keys. RateLimited counts the requests that were answered 429.
 	Requests    map[string]int `json:"requests"`
 	Writes      map[string]int `json:"changes"`
 	RateLimited int            `json:"refused"`
 	// CloudCalls counts requests to the cloud.
 	CloudCalls int `json:"cloud_calls"`
-	// Starts counts starts of tasks, and LostToLease tasks that ended with a worker lease.
+	// Starts counts task starts, and LostToLease tasks that were killed because a worker lease
+	// expired.
 	Starts      int `json:"started"`
 	LostToLease int `json:"lost_to_lease"`
 }
 
-// liveTraffic has the counts that connections update, without Live.mu.
+// liveTraffic has the counters that connections update without holding Live.mu.
 type liveTraffic struct{ heartbeatsOut, heartbeatsIn, commandsOut, commandsIn atomic.Int64 }
 
+// newCounts returns counters that are zero.
 func newCounts() LiveCounts {
 	return LiveCounts{Heartbeats: map[int]int{}, Commands: map[string]int{}, Requests: map[string]int{}, Writes: map[string]int{}}
 }
 
-// countRequest counts a request to the state service.
+// countRequest counts a request to the state service. refused means that a rate limit refused it.
 func (c *LiveCounts) countRequest(op *message.StoreRequest, refused bool) {
 	kind := map[message.StoreRequestKind]string{
 		message.OpGet: "get", message.OpList: "list", message.OpWatch: "follow", message.OpTxn: "multi",
@@ -60,7 +62,7 @@
 	}
 }
 
-// Minus returns what was counted since an earlier count.
+// Minus returns the difference to the earlier counters o, without map entries that are zero.
 func (c LiveCounts) Minus(o LiveCounts) LiveCounts {
 	less := func(a, b map[string]int) map[string]int {
 		out := map[string]int{}
@@ -86,7 +88,7 @@
 	return d
 }
 
-// Counts returns what was counted so far.
+// Counts returns a copy of the current counters.
 func (l *Live) Counts() LiveCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +100,8 @@
 	return out
 }
 
-// KillMachines ends as many machines that are up, without notice, and returns how many there were.
+// KillMachines ends up to the given number of running machines without notice, and returns how many
+// it ended.
 func (l *Live) KillMachines(machines int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,8 +115,8 @@
 	return lost
 }
 
-// Workers counts the machines that send heartbeats, the tasks on them, and those of long-running
-// jobs.
+// Workers returns the number of machines that send heartbeats, of tasks that take resources of
+// machines, and of those tasks that belong to long-running jobs.
 func (l *Live) Workers() (up, tasks, standing int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +137,8 @@
 	return up, tasks, standing
 }
 
-// FirstStart returns when a job's first task started, if one did.
+// FirstStart returns the time of a job's first task start, and whether a task of the job has
+// started.
 func (l *Live) FirstStart(id string) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,30 +155,33 @@
 	return first, !first.IsZero()
 }
 
-// meteredConn counts the bytes of a connection.
+// meteredConn counts the bytes that a connection receives and sends.
 type meteredConn struct {
 	net.Conn
 	in, out *atomic.Int64
 }
 
+// Read reads from the connection and counts the bytes.
 func (c meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Add(int64(n))
 	return n, err
 }
 
+// Write writes to the connection and counts the bytes.
 func (c meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.Add(int64(n))
 	return n, err
 }
 
-// meteredListener counts the bytes of all connections that it accepts.
+// meteredListener makes all connections that it accepts count their bytes.
 type meteredListener struct {
 	net.Listener
 	in, out *atomic.Int64
 }
 
+// Accept accepts a connection that counts its bytes.
 func (l meteredListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -183,8 +190,8 @@
 	return meteredConn{c, l.in, l.out}, nil
 }
 
-// newHeartbeatClient returns the HTTP client of one worker. It keeps one connection, as a worker
-// sends heartbeats to one controller at a time.
+// newHeartbeatClient returns the HTTP client for one worker's heartbeats. The client keeps one
+// connection, because a worker sends heartbeats to one controller at a time.
 func (l *Live) newHeartbeatClient() *http.Client {
 	var d net.Dialer
 	return &http.Client{Transport: &http.Transport{
--- a/internal/simulation/live_state.go
+++ b/internal/simulation/live_state.go
@@ -10,7 +10,7 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// serveState serves the state service.
+// serveState handles HTTP requests to the state service.
 func (l *Live) serveState(rw http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	op, writes, err := decodeStoreRequest(r)
@@ -42,10 +42,10 @@
 	l.writeStoreResponse(rw, op, d)
 }
 
-// errMalformedRequest is returned for requests that the protocol has answered 400.
+// errMalformedRequest is the error for requests to which the protocol requires the answer 400.
 var errMalformedRequest = errors.New("simulation: malformed request")
 
-// decodeStoreRequest decodes a request to the state service, and counts its writes.
+// decodeStoreRequest decodes a request to the state service and returns the number of its writes.
 func decodeStoreRequest(r *http.Request) (op message.StoreRequest, writes int, err error) {
 	malformed := false
 	q := r.URL.Query()
@@ -95,7 +95,7 @@
 	return op, writes, nil
 }
 
-// writeStoreResponse encodes an answer of the state service.
+// writeStoreResponse writes the state service's response to a request.
 func (l *Live) writeStoreResponse(rw http.ResponseWriter, op message.StoreRequest, d message.StoreResponse) {
 	rows := func() []any {
 		out := []any{}
--- a/internal/simulation/live_wire.go
+++ b/internal/simulation/live_wire.go
@@ -9,10 +9,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// obj is an object of the wire format.
+// obj is a decoded or not yet encoded object of the wire format.
 type obj = map[string]any
 
-// writeReply writes an answer of the wire format.
+// writeReply writes an HTTP answer with v as its body.
 func writeReply(rw http.ResponseWriter, status int, v any) {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -23,7 +23,7 @@
 	rw.Write(b)
 }
 
-// readObject reads the body of a request; nil if it is no object.
+// readObject reads the body of a request. It returns nil if the body is empty or no object.
 func readObject(r *http.Request) obj {
 	b, _ := io.ReadAll(r.Body)
 	var o obj
@@ -33,18 +33,23 @@
 	return o
 }
 
-// toUint converts a decoded number of any type, or a text with digits; anything else is 0.
+// toUint converts a decoded number of any type, or a string of digits, to a uint64. It returns 0
+// for any other value.
 func toUint(v any) uint64 {
 	f, _ := strconv.ParseFloat(fmt.Sprint(v), 64)
 	return uint64(f)
 }
 
+// toText returns a decoded string, or an empty one for a value of any other type.
 func toText(v any) string { s, _ := v.(string); return s }
 
+// toList returns a decoded array, or nil for a value of any other type.
 func toList(v any) []any { s, _ := v.([]any); return s }
 
+// encodeValue encodes a value in the wire format.
 func encodeValue(v any) []byte { b, _ := msgpack.Marshal(v); return b }
 
+// decodeValue decodes a value of the wire format, or returns nil if b is malformed.
 func decodeValue(b []byte) any {
 	var v any
 	if msgpack.Unmarshal(b, &v) != nil {
--- a/internal/simulation/live_worker.go
+++ b/internal/simulation/live_worker.go
@@ -17,8 +17,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// openMachine starts the server of a machine, and chooses the first controller that it sends
-// heartbeats to.
+// openMachine starts the server of a new machine, and sets the first controller that its worker
+// sends heartbeats to.
 func (l *Live) openMachine(m *Worker) {
 	s := httptest.NewUnstartedServer(l.serveWorker(m))
 	s.Listener = meteredListener{s.Listener, &l.traffic.commandsIn, &l.traffic.commandsOut}
@@ -28,7 +28,7 @@
 	m.controller = l.world.lastID % len(l.controllers)
 }
 
-// closeMachine ends the server of a machine that is gone.
+// closeMachine closes the server and the client of a machine that was released or reclaimed.
 func (l *Live) closeMachine(m *Worker) {
 	s, c := l.machineServers[m], l.heartbeatClients[m]
 	delete(l.machineServers, m)
@@ -40,7 +40,7 @@
 	})
 }
 
-// encodeHeartbeat encodes a heartbeat.
+// encodeHeartbeat returns a heartbeat as an object of the wire format.
 func encodeHeartbeat(r *model.Heartbeat) obj {
 	o := obj{"host": r.Machine, "address": r.Addr, "flavour": r.MachineType, "site": r.Zone, "loaner": r.Spot,
 		"tenure": r.Incarnation, "tick": r.Sequence, "epoch": r.Epoch, "recall_s": nil}
@@ -59,7 +59,8 @@
 	return o
 }
 
-// decodeCommands decodes the commands of a request to a worker, or of the answer to a heartbeat.
+// decodeCommands decodes the task commands in a request to a worker or in the answer to a
+// heartbeat.
 func decodeCommands(v any) []model.TaskCommand {
 	var out []model.TaskCommand
 	for _, x := range toList(v) {
@@ -72,7 +73,8 @@
 	return out
 }
 
-// serveWorker serves a machine's own address.
+// serveWorker returns the handler of direct requests to a machine's worker. Requests to a worker
+// that does not run fail without an answer.
 func (l *Live) serveWorker(m *Worker) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		l.mu.Lock()
@@ -100,7 +102,8 @@
 	})
 }
 
-// postHeartbeat sends a worker's heartbeat over HTTP and takes the answer.
+// postHeartbeat sends a worker's heartbeat over HTTP and handles the answer, in a goroutine of its
+// own. The caller holds l.mu.
 func (l *Live) postHeartbeat(m *Worker) {
 	sent, incarnation, to := l.world.now, m.incarnation, m.controller
 	r := m.heartbeat(l.world.now)
@@ -134,8 +137,8 @@
 	})
 }
 
-// postReport posts a heartbeat to the controller at addr, and returns the HTTP status, 0 if there
-// was no answer, and the body.
+// postReport posts an encoded heartbeat to the controller at addr. It returns the HTTP status, or 0
+// if there was no answer, and the decoded body.
 func (l *Live) postReport(client *http.Client, addr string, body []byte) (status int, answer obj) {
 	ctx, cancel := context.WithTimeout(l.requests, heartbeatTimeout)
 	defer cancel()
@@ -151,7 +154,7 @@
 		status = resp.StatusCode
 	}
 	if status != http.StatusOK {
-		// The worker turns to another controller, so this connection is of no use.
+		// The worker sends its next heartbeat to another controller, so the connection is closed.
 		client.CloseIdleConnections()
 	}
 	return status, answer
--- a/internal/simulation/margins.go
+++ b/internal/simulation/margins.go
@@ -7,34 +7,36 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file records how close a day came to breaking each timed rule, and checks that no job waits
+// This file records the smallest margin of each timed rule, and checks that no job waits for long
 // while there is free capacity for it.
 
-// The timed rules, beside RuleOrphaned.
+// Timed rules bound a duration. RuleOrphaned is another one.
 const (
-	// RuleCancelled: the tasks of a cancelled job are gone within cancel_s.
+	// RuleCancelled is the rule that the tasks of a cancelled job end within cancel_s.
 	RuleCancelled = "ran_cancelled"
-	// RuleForgotten: once all faults are over, no job goes without an answer for longer than
-	// MaxUnanswered.
+	// RuleForgotten is the rule that the queries of an accepted job are not unanswered for longer
+	// than MaxUnanswered once all faults are over.
 	RuleForgotten = "forgotten"
-	// RuleWaiting: once all faults are over, no job waits for longer than maxWaiting while there is
-	// free capacity for it.
+	// RuleWaiting is the rule that no job waits for longer than maxWaiting while there is free
+	// capacity for it, once all faults are over.
 	RuleWaiting = "waiting"
-	// RuleBegin: the largest jobs of a class start within maxStartWait.
+	// RuleBegin is the rule that the largest jobs of a class start within maxStartWait, not
+	// counting times without capacity.
 	RuleBegin = "begin"
 )
 
-// TimedRules has the timed rules in the order in which they are printed.
+// TimedRules lists the timed rules in the order in which they are printed.
 var TimedRules = []string{RuleCancelled, RuleOrphaned, RuleForgotten, RuleWaiting, RuleBegin}
 
-// Margin is the least time that was left to a rule, and where; it is negative if the rule was
-// broken.
+// Margin is the smallest time that was left before a rule would have been violated, and the job or
+// machine concerned. It is negative if the rule was violated.
 type Margin struct {
 	Remaining time.Duration `json:"left_ns"`
 	Subject   string        `json:"what"`
 }
 
-// recordMargin notes how much time was left to a rule.
+// recordMargin records the time that was left before a violation of a rule, if it is the smallest
+// so far.
 func (w *World) recordMargin(rule string, left time.Duration, what string) {
 	if old, ok := w.margins[rule]; !ok || left < old.Remaining {
 		w.margins[rule] = Margin{left, fmt.Sprintf("%s at %.1fs", what, w.now.Sub(w.startedAt).Seconds())}
@@ -42,19 +44,20 @@
 }
 
 const (
-	// maxWaiting is how long a job may wait beside free capacity once all faults are over, and
-	// waitCheckInterval how often that is checked.
+	// maxWaiting is how long a job may wait while there is free capacity for it, once all faults
+	// are over. waitCheckInterval is the interval of the check.
 	maxWaiting        = 90 * time.Second
 	waitCheckInterval = time.Second
-	// capacitySamples is at how many checks in a row capacity must be free to count: where tasks
-	// come and go, some is always free for a moment.
+	// capacitySamples is the number of consecutive checks at which capacity must be free to count
+	// as free. Capacity between the end of one task and the start of the next does not count.
 	capacitySamples = 10
 )
 
-// checkWaiting checks, once all faults are over, that no job waits for maxWaiting while all that
-// time some machine that fits has free capacity and its team is under its quota limit. A job waits
-// while one of its tasks is neither done nor on a machine, and none was placed. Jobs with
-// anti-affinity and gangs are not checked: what they need is not on a single machine.
+// checkWaiting checks, once all faults are over, that no job waits for longer than maxWaiting while
+// a suitable machine has free capacity during the whole time and the team is below its quota limit.
+// A job waits while one of its tasks is neither done nor on a machine; each placement of a task
+// restarts the time. Jobs with anti-affinity and gangs are not checked, because free capacity on a
+// single machine is not enough for them.
 func (w *World) checkWaiting() {
 	if w.faultsEndAt.IsZero() || w.now.Before(w.faultsEndAt) || w.now.Before(w.nextWaitCheck) {
 		return
@@ -88,7 +91,7 @@
 	}
 }
 
-// isWaiting reports whether a job that should run has a task that is neither done nor on a machine.
+// isWaiting reports whether a job that could run has a task that is neither done nor on a machine.
 func (j *userJob) isWaiting() bool {
 	if !j.accepted || j.isCancelled() || !j.dependenciesDone() || j.alwaysFails || isFinal(j.lastState) || j.spec.SpreadZones || j.spec.Gang {
 		return false
@@ -101,7 +104,8 @@
 	return false
 }
 
-// isPlaced reports whether a task is on a machine, or waits there for its image.
+// isPlaced reports whether task i has an active attempt on a machine, which may still fetch its
+// image.
 func (j *userJob) isPlaced(i int) bool {
 	for _, m := range j.machines[i] {
 		for _, t := range m.tasks {
@@ -113,8 +117,9 @@
 	return false
 }
 
-// resourceUse returns what has been free for a while on the machines that can take tasks, and what
-// each team's tasks take, including those that wait for their images.
+// resourceUse returns the capacity that was free at all of the last capacitySamples checks on each
+// machine that can run tasks, and the resources that each team's tasks take, including tasks that
+// wait for their images.
 func (w *World) resourceUse() (map[*Worker]model.Resources, map[string]model.Resources) {
 	free, used := map[*Worker]model.Resources{}, map[string]model.Resources{}
 	for _, m := range w.fleet {
@@ -139,7 +144,8 @@
 }
 
 // machineWithCapacity returns a machine that a job may use and that has free capacity for one of
-// its tasks, or nil if there is none or the team is at its quota limit.
+// its tasks. It returns nil if there is no such machine or one more task would exceed the team's
+// quota limit.
 func (w *World) machineWithCapacity(j *userJob, free map[*Worker]model.Resources, used map[string]model.Resources) *Worker {
 	s := &j.spec
 	limit, takes := w.team(s.Team).QuotaLimit, used[s.Team].AddScaled(s.Need, 1)
@@ -158,7 +164,8 @@
 	return nil
 }
 
-// allowsMachine reports whether a job allows a machine, in a zone unless that is empty.
+// allowsMachine reports whether a job may use a machine. A zone that is not empty restricts the job
+// to it.
 func allowsMachine(s *model.JobSpec, m *Worker, zone string) bool {
 	allowed := len(s.MachineTypes) == 0
 	for _, f := range s.MachineTypes {
@@ -167,7 +174,7 @@
 	return allowed && (zone == "" || zone == m.Zone) && (s.AllowSpot || !m.Spot)
 }
 
-// minResources returns the least of each resource.
+// minResources returns the minimum of each resource.
 func minResources(rs []model.Resources) model.Resources {
 	out := rs[0]
 	for _, r := range rs[1:] {
--- a/internal/simulation/mixed_jobs.go
+++ b/internal/simulation/mixed_jobs.go
@@ -7,26 +7,26 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has days with jobs of many kinds, not only arrays that may run anywhere, and with
-// controllers whose clocks are off.
+// This file varies the ordinary jobs of a day, which otherwise are array jobs without placement
+// constraints, and skews the clocks of the controllers.
 
 const (
-	// maxClockSkew is how far a controller's clock may be off.
+	// maxClockSkew bounds the skew of a controller's clock in both directions.
 	maxClockSkew = 250 * time.Millisecond
-	// minServiceTime and maxServiceTime bound how long a long-running job lasts before it is
-	// cancelled.
+	// minServiceTime and maxServiceTime bound the time from the submission of a long-running job to
+	// its cancellation.
 	minServiceTime = 40 * time.Second
 	maxServiceTime = 150 * time.Second
 )
 
-// jobMix varies the kinds of a day's jobs, with random numbers of its own. A nil jobMix changes
-// nothing.
+// jobMix varies the kinds of a day's jobs. It has its own random stream. The methods that vary jobs
+// and skew clocks do nothing on a nil jobMix.
 type jobMix struct {
 	rng   *rand.Rand
 	zones []string
 }
 
-// newJobMix returns the job mix of a day, nil unless MixedJobs is set.
+// newJobMix returns the job mix of a day, or nil if MixedJobs is not set.
 func newJobMix(d *Day) *jobMix {
 	if !d.MixedJobs {
 		return nil
@@ -34,7 +34,7 @@
 	return &jobMix{rand.New(rand.NewPCG(d.Seed, 819)), d.Settings.Zones}
 }
 
-// skewClocks sets each controller's clock off by up to maxClockSkew.
+// skewClocks draws the skew of each controller's clock.
 func (x *jobMix) skewClocks(w *World) {
 	if x == nil {
 		return
@@ -44,7 +44,8 @@
 	}
 }
 
-// varyJob turns a job into one of another kind, or leaves it.
+// varyJob draws a variant of a job: with checkpoints, with a placement constraint, long-running, or
+// unchanged.
 func (x *jobMix) varyJob(s *model.JobSpec) {
 	if x == nil {
 		return
@@ -63,7 +64,7 @@
 	}
 }
 
-// serviceTime draws how long a long-running job lasts before it is cancelled.
+// serviceTime draws the time from the submission of a long-running job to its cancellation.
 func (x *jobMix) serviceTime() time.Duration {
 	return logUniform(x.rng, minServiceTime, maxServiceTime)
 }
--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -11,19 +11,20 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has days with models: machines with eight GPUs beside the others, and long-running jobs
-// whose replicas take from one GPU to all eight of a machine.
+// This file generates and evaluates days with models. A model is a long-running job whose replicas
+// take between one and all eight GPUs of a machine. Machines with eight GPUs are added to the cloud
+// for them.
 
-// gpusPerMachine is how many GPUs a machine for models has.
+// gpusPerMachine is the number of GPUs of a machine for models.
 const gpusPerMachine = 8
 
-// Validate reports an error if Enabled names an unknown capability.
+// Validate returns an error if Enabled lists an unknown capability.
 func (p *DayParams) Validate() error {
 	_, err := p.capabilities()
 	return err
 }
 
-// capabilities returns the enabled capabilities, with the settings that deploy/ has for them.
+// capabilities returns the enabled capabilities, with the values that the settings in deploy/ use.
 func (p *DayParams) capabilities() (out controller.Capabilities, err error) {
 	for _, s := range p.Enabled {
 		all := s == "all"
@@ -54,16 +55,17 @@
 }
 
 // modelJob is a model with the times of its submission and cancellation, counted from the day's
-// begin. cancelAt 0 means that it is not cancelled.
+// begin. cancelAt is 0 if the model is not cancelled.
 type modelJob struct {
 	spec     model.JobSpec
 	submitAt time.Duration
 	cancelAt time.Duration
 }
 
-// generateModels draws a day's models. Small and medium ones fill the machines at first and most
-// are cancelled over time. From the middle of the day on large ones come: no more than there are
-// whole machines left if the rest is packed tightly.
+// generateModels draws a day's models. At first small and medium models fill the machines, and most
+// of them are cancelled over time. From the middle of the day on large models are submitted, each
+// of which needs a whole machine. There are no more of them than machines that are empty if the
+// remaining models are packed as tightly as possible.
 func generateModels(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 2718))
 	span := float64(d.Minutes) * float64(time.Minute)
@@ -81,7 +83,8 @@
 			remainingGPUs += replicas * int(gpus)
 		}
 		for i := range d.Settings.Teams {
-			// Raise the quota limit, so that it allows the team's models as well.
+			// Raise the quota limit so that it allows the team's models in addition to its other
+			// jobs.
 			if t := &d.Settings.Teams[i]; t.Name == m.spec.Team && t.QuotaLimit.CPU > 0 {
 				t.QuotaLimit.CPU += m.spec.Need.CPU * float64(replicas)
 			}
@@ -94,7 +97,7 @@
 	for range 1 + d.Models/3 {
 		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, model.Normal, 0, 0.3)
 	}
-	// Leave one whole machine free beside what the rest needs.
+	// Keep one machine in reserve beside those that the remaining models need.
 	whole := d.Models - (remainingGPUs+gpusPerMachine-1)/gpusPerMachine - 1
 	for range max(0, min(whole, 1+d.Models*(3+rng.IntN(3))/10)) {
 		add("model-large", gpusPerMachine, 1, 3, 60, 0, model.Urgent, 0.5, 1)
@@ -113,18 +116,18 @@
 	}
 }
 
-// replica is a replica of a long-running job. Its attempts come and go.
+// replica is a replica of a long-running job over all its attempts.
 type replica struct {
-	// upTime is how long it was up, not counting the current time since upSince.
+	// upTime is the time for which the replica was up, without the current period since upSince.
 	upTime           time.Duration
 	upSince          time.Time
 	downSince        time.Time
 	stoppedByCommand bool
-	// downTimes are the times that it was down after a command had stopped it.
+	// downTimes are the durations for which the replica was down after a command had stopped it.
 	downTimes []time.Duration
 }
 
-// replicaUp notes that a task of a long-running job runs.
+// replicaUp records that a replica runs from now on; it ignores tasks of other jobs.
 func (w *World) replicaUp(t *workerTask) {
 	if !t.job.spec.LongRunning {
 		return
@@ -140,7 +143,7 @@
 	r.upSince, r.downSince, r.stoppedByCommand = w.now, time.Time{}, false
 }
 
-// replicaDown notes that a task of a long-running job runs no more.
+// replicaDown records that a replica does not run from now on; it ignores tasks of other jobs.
 func (w *World) replicaDown(t *workerTask) {
 	if r := t.job.replicas[t.index]; r != nil && r.downSince.IsZero() {
 		r.upTime += w.now.Sub(r.upSince)
@@ -148,22 +151,23 @@
 	}
 }
 
-// ModelSummary is the outcome of a day's models.
+// ModelSummary is the outcome of a day's models that were not cancelled.
 type ModelSummary struct {
-	// LargeModels counts models that take whole machines, and LargeStarted those of them of which
-	// all replicas started.
+	// LargeModels counts the models whose replicas take whole machines. LargeStarted counts those
+	// of them of which all replicas started.
 	LargeModels  int `json:"large"`
 	LargeStarted int `json:"large_begun"`
-	// Wait is the time until all replicas of a large model started, and Up the part of the time
-	// since then that the replicas were up; a model that did not start counts as down.
+	// Wait is the time from the submission of a large model to the start of its last replica. Up is
+	// the fraction of the time since then for which the replicas were up; a model that did not
+	// start counts as down since its submission.
 	Wait Distribution `json:"large_wait_s"`
 	Up   float64      `json:"large_up"`
-	// OthersUnstarted counts the other models that did not start and were not cancelled.
+	// OthersUnstarted counts the other models of which not all replicas started.
 	OthersUnstarted int `json:"others_unbegun"`
-	// FragmentedGPUs counts free GPUs of partly used machines at the end.
+	// FragmentedGPUs counts the free GPUs of partly used machines at the end of the day.
 	FragmentedGPUs int `json:"gpus_in_pieces"`
-	// Stopped counts how often replicas were stopped other than by a cancellation, and Down is how
-	// long they were down then.
+	// Stopped counts how often a command stopped a replica of a model that was not cancelled. Down
+	// is how long the replicas were down after that.
 	Stopped int          `json:"stopped"`
 	Down    Distribution `json:"down_s"`
 }
@@ -172,12 +176,13 @@
 type modelSums struct {
 	ModelSummary
 	wait, down *hdrhistogram.Histogram
-	// upSeconds and wantedSeconds are replica seconds of the large models: those in which replicas
-	// were up, and those in which they should have been.
+	// upSeconds and wantedSeconds are replica-seconds of the large models: the time for which
+	// replicas were up, and the time for which they should have been up.
 	upSeconds, wantedSeconds float64
 }
 
-// modelSummary sums up the models that were not cancelled, and the GPUs.
+// modelSummary returns the outcome of the models that were not cancelled, and the GPU
+// fragmentation.
 func (w *World) modelSummary() *ModelSummary {
 	sums := modelSums{wait: newHistogram(), down: newHistogram()}
 	for _, id := range sortedKeys(w.jobs) {
@@ -194,7 +199,7 @@
 	return r
 }
 
-// add counts a model, as it is at now.
+// add counts a model in its state at now.
 func (s *modelSums) add(j *userJob, now time.Time) {
 	for _, x := range j.replicas {
 		downs := x.downTimes
@@ -235,7 +240,7 @@
 	}
 }
 
-// fragmentedGPUs counts the free GPUs of machines on which others are taken.
+// fragmentedGPUs counts the free GPUs of machines of which other GPUs are in use.
 func (w *World) fragmentedGPUs() int {
 	free := 0
 	for _, m := range w.fleet {
--- a/internal/simulation/overlaps.go
+++ b/internal/simulation/overlaps.go
@@ -12,13 +12,14 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has days on which two or three faults overlap while users cancel most jobs of a class,
-// and the faults that only such days have: transactions that are carried out late, a state service
-// that refuses one controller and is then unavailable to all, and messages that are lost, delayed
-// or carried out twice.
+// This file generates days on which two or three faults overlap while users cancel most jobs of a
+// class. It also has the faults that occur only on such days: transactions that are executed late,
+// a state service that refuses one controller and is then unavailable to all, and messages that are
+// lost, delayed or executed twice.
 
-// overlapFaultKinds are the kinds of faults that may overlap. Those that are known to matter in
-// combination stand twice, so that they are drawn more often.
+// overlapFaultKinds are the kinds of faults that may overlap. Faults are drawn uniformly from the
+// list. Kinds that are known to cause failures in combination occur twice, so that they are drawn
+// more often.
 var overlapFaultKinds = []string{
 	"crash", "crash", "crash_all", "crash_all", "roll", "cut", "cut", "refused", "outage", "cloud", "still", "still", "die", "hang", "hang",
 	"machine_cut", "machine_cut", "taken", "slow_state", "slow_state",
@@ -28,24 +29,25 @@
 }
 
 const (
-	// minWriteDelay and maxWriteDelay bound how late a transaction without an answer is carried
-	// out.
+	// minWriteDelay and maxWriteDelay bound the delay of a transaction that gets no answer.
 	minWriteDelay = 2 * time.Second
 	maxWriteDelay = 12 * time.Second
-	// refusedAfterOutage is how long one controller stays refused after the state service became
-	// unavailable to all: about what was seen with a real one.
+	// refusedAfterOutage is how long the state service continues to refuse one controller after it
+	// became unavailable to all. A real state service was seen to do so for about this long.
 	refusedAfterOutage = 14 * time.Second
-	// maxFaultSpacing is how much later than the first of the overlapping faults another one begins
-	// at most.
+	// maxFaultSpacing is the longest time from the begin of the first of the overlapping faults to
+	// the begin of another one.
 	maxFaultSpacing = 20 * time.Second
-	// crashAfterOverlap is how long after the overlapping faults all controllers crash on some
-	// days.
+	// crashAfterOverlap is the time from the end of the overlapping faults to the crash of all
+	// controllers that some days have.
 	crashAfterOverlap = 10 * time.Second
-	// stickyUserOneIn: one user in so many keeps to one controller once all faults are over.
+	// stickyUserOneIn makes one in this many users send all queries to the same controller once all
+	// faults are over.
 	stickyUserOneIn = 3
 )
 
-// MassCancel is that users cancel a part of a class's jobs within a short time.
+// MassCancel describes that users cancel a fraction of the jobs of a workload from At on, within
+// Duration.
 type MassCancel struct {
 	Workload string        `json:"class"`
 	Fraction float64       `json:"share"`
@@ -53,11 +55,13 @@
 	Duration time.Duration `json:"for_ns"`
 }
 
+// String describes the mass cancellation for reports of days.
 func (c *MassCancel) String() string {
 	return fmt.Sprintf("%.0fs %.0f%% of %s are cancelled within %.0fs", c.At.Seconds(), 100*c.Fraction, c.Workload, c.Duration.Seconds())
 }
 
-// cancelTime draws when a job of a class that is submitted at a time is cancelled, if it is.
+// cancelTime draws the time at which a job is cancelled, and whether it is cancelled. at is the
+// time of the job's submission.
 func (c *MassCancel) cancelTime(class string, at time.Duration, rng *rand.Rand) (time.Duration, bool) {
 	if c == nil || class != c.Workload || rng.Float64() >= c.Fraction {
 		return 0, false
@@ -66,11 +70,12 @@
 	return t, t > at
 }
 
-// longTaskRunTime is how long the tasks of a class run that outlast cancel_s.
+// longTaskRunTime is the mean run time of the tasks of the class that withLongTasks adds. It
+// exceeds cancel_s.
 const longTaskRunTime = 110 * time.Second
 
-// extraCountTime returns how much later than on other days served jobs are counted: the long tasks
-// that came last must have their time.
+// extraCountTime returns the time by which served jobs are counted later than on other days, so
+// that long tasks and pipelines that were submitted last can complete.
 func (d *Day) extraCountTime() time.Duration {
 	long := time.Duration(0)
 	if d.OverlappingFaults {
@@ -82,7 +87,7 @@
 	return long
 }
 
-// withLongTasks adds to the classes of other days one whose tasks outlast cancel_s.
+// withLongTasks returns the classes and one more, whose tasks run for longer than cancel_s.
 func withLongTasks(classes []workloadClass) []workloadClass {
 	out := slices.Clone(classes)
 	const part = 0.2
@@ -92,8 +97,9 @@
 	return append(out, workloadClass{"import", 2, 4, longTaskRunTime, 1, model.Normal, 0, part})
 }
 
-// submitLongJobs schedules many small jobs of long tasks in the time before users cancel, so that
-// there is always much to be stopped when the faults overlap: one for every two machines.
+// submitLongJobs schedules small jobs of long tasks, one for every two machines, in the minute
+// before the mass cancellation. They make sure that many tasks have to be stopped while the faults
+// overlap.
 func (d *Day) submitLongJobs(w *World) {
 	if d.Cancels == nil {
 		return
@@ -115,8 +121,8 @@
 	}
 }
 
-// generateOverlap draws two or three faults that overlap, and the mass cancellation around them,
-// with random numbers of its own: the rest of the day is as without it.
+// generateOverlap draws two or three faults that overlap and the mass cancellation around them. It
+// has its own random stream, so that the rest of the day stays the same.
 func generateOverlap(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 3141))
 	d.workloads = withLongTasks(d.workloads)
@@ -135,7 +141,8 @@
 		}
 		longest = max(longest, f.endsAt(d.Controllers)-f.At)
 		if f.Kind == "refused_outage" {
-			// Most of them are cancelled while another controller can still confirm it.
+			// Most of the jobs are cancelled while another controller can still confirm the
+			// cancellation.
 			cancels.At, cancels.Duration = f.At, f.Delay+2*time.Second
 		}
 		overlapping = append(overlapping, f)
@@ -149,8 +156,8 @@
 	d.sortFaults()
 }
 
-// addExtraFault adds one of the faults of extra_faults.go on one day in three, with random numbers
-// of its own: the other days are as without it.
+// addExtraFault adds a fault of extra_faults.go to one day in three. It has its own random stream,
+// so that the rest of the day stays the same.
 func (d *Day) addExtraFault(overlapping []Fault) {
 	rng := rand.New(rand.NewPCG(d.Seed, 5772))
 	if rng.IntN(3) > 0 {
@@ -161,7 +168,7 @@
 	d.Faults = append(d.Faults, f)
 }
 
-// generateFault draws a fault of any kind, without its begin.
+// generateFault draws a fault of overlapFaultKinds. The caller sets At.
 func (d *Day) generateFault(rng *rand.Rand) Fault {
 	oneOf := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
 	cancel := d.cancelWithin()
@@ -211,15 +218,17 @@
 	return f
 }
 
-// cancelWithin returns how soon the tasks of a cancelled job must be gone.
+// cancelWithin returns cancel_s, the time within which the tasks of a cancelled job must have
+// ended.
 func (d *Day) cancelWithin() time.Duration {
 	return d.Settings.WorkerLease + time.Duration(cmp.Or(d.CancelMarginS, defaultCancelMarginS))*time.Second
 }
 
-// defaultCancelMarginS is by how many seconds cancel_s exceeds the worker lease on all known sites.
+// defaultCancelMarginS is the number of seconds by which cancel_s exceeds the worker lease. All
+// known sites use this value.
 const defaultCancelMarginS = 30
 
-// startOverlapFault begins a fault of this file, and reports whether it is one.
+// startOverlapFault begins a fault if its kind belongs to this file, and reports whether it does.
 func (w *World) startOverlapFault(f Fault) bool {
 	switch f.Kind {
 	case "late_writes":
@@ -240,13 +249,14 @@
 	return true
 }
 
-// DelayWrites makes a part of the transactions of the next d get no answer and be carried out some
-// seconds later, after newer ones, or at once with loseWriteResponses.
+// DelayWrites makes a fraction of the transactions of the next d get no answer. The state service
+// executes them some seconds later, possibly after newer ones, or at once with loseWriteResponses.
 func (w *World) DelayWrites(fraction float64, d time.Duration) {
 	w.lateWriteRate, w.lateWritesUntil = fraction, w.now.Add(d)
 }
 
-// delayWrite reports whether a transaction gets no answer, and how late it is carried out.
+// delayWrite decides whether a transaction gets no answer, and returns the delay of its execution
+// and the decision.
 func (w *World) delayWrite(e message.StoreRequest) (time.Duration, bool) {
 	if e.Kind != message.OpTxn || !w.now.Before(w.lateWritesUntil) || w.rng.Float64() >= w.lateWriteRate {
 		return 0, false
@@ -257,7 +267,8 @@
 	return minWriteDelay + time.Duration(w.rng.Int64N(int64(maxWriteDelay-minWriteDelay))), true
 }
 
-// refuseController makes the state service refuse one controller for d.
+// refuseController makes the state service refuse the requests of one controller for d. Refusals
+// may overlap.
 func (w *World) refuseController(p *controllerProcess, d time.Duration) {
 	p.stateRefused = true
 	if until := w.now.Add(d); until.After(p.refusedUntil) {
@@ -283,8 +294,9 @@
 	return best
 }
 
-// stickyController returns the index of the controller that a job's user keeps to once all faults
-// are over, on days with overlapping faults; -1 means any.
+// stickyController returns the index of the controller to which a job's user sends all queries once
+// all faults are over, on days with overlapping faults. It returns -1 if the user queries random
+// controllers, or if that controller is not healthy.
 func (w *World) stickyController(j *userJob) int {
 	if !w.stickyUsers || w.now.Before(w.faultsEndAt) {
 		return -1
--- a/internal/simulation/partial_faults.go
+++ b/internal/simulation/partial_faults.go
@@ -8,12 +8,12 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has partial failures: machines whose heartbeats arrive while nothing reaches them,
-// heartbeats that arrive again long after, and processes that are back within a fraction of a
-// second.
+// This file has partial failures: machines that can send but not receive messages, heartbeats that
+// arrive a second time much later, and processes that restart within a fraction of a second.
 
-// MakeUnreachable keeps all messages from machines for d, answers and commands alike, while what
-// they send arrives. With holdMessages the messages are delivered afterwards.
+// MakeUnreachable keeps all messages to machines, answers as well as commands, from arriving for d.
+// Messages from the machines still arrive. With holdMessages the messages to the machines are
+// delivered afterwards, otherwise they are lost.
 func (w *World) MakeUnreachable(ids []string, d time.Duration, holdMessages bool) {
 	for _, id := range ids {
 		if m := w.machines[id]; m != nil {
@@ -22,8 +22,8 @@
 	}
 }
 
-// SampleMachineIDs draws a part of the machines that are up, at least one if there is any, of one
-// zone unless that is empty.
+// SampleMachineIDs draws a fraction of the machines that are up, at least one if there is any. A
+// zone that is not empty restricts the draw to its machines.
 func (w *World) SampleMachineIDs(fraction float64, zone string, rng *rand.Rand) []string {
 	var ids []string
 	for _, id := range sortedKeys(w.machines) {
@@ -35,14 +35,15 @@
 	return ids[:min(len(ids), max(1, int(fraction*float64(len(ids)))))]
 }
 
-// CopyHeartbeats makes a part of the heartbeats of the next d arrive once more, at a random
-// controller, from a second to longest later. Their answers are dropped.
+// CopyHeartbeats makes a fraction of the heartbeats of the next d arrive a second time at a random
+// controller, with a delay between a second and longest. The answers to the copies are dropped.
 func (w *World) CopyHeartbeats(fraction float64, longest, d time.Duration) {
 	w.heartbeatCopyRate, w.heartbeatCopyMaxDelay, w.heartbeatCopiesUntil = fraction, longest, w.now.Add(d)
 	w.replayToNextLeader = false
 }
 
-// copyHeartbeat sends or keeps a copy of a heartbeat, if the fault affects it.
+// copyHeartbeat schedules or keeps a copy of a heartbeat if the fault of CopyHeartbeats is active
+// and selects the heartbeat.
 func (w *World) copyHeartbeat(r model.Heartbeat) {
 	if !w.now.Before(w.heartbeatCopiesUntil) || w.rng.Float64() >= w.heartbeatCopyRate {
 		return
@@ -58,8 +59,9 @@
 	})
 }
 
-// holdIfUnreachable reports whether a message to a machine does not arrive now, and delivers it
-// later if it is held.
+// holdIfUnreachable reports whether MakeUnreachable keeps a message to m from arriving. If the
+// fault holds messages, holdIfUnreachable schedules the delivery for the end of the fault. m is nil
+// if the receiver is no machine.
 func (w *World) holdIfUnreachable(m *Worker, deliver func()) bool {
 	if m == nil || !w.now.Before(m.unreachableUntil) {
 		return false
@@ -70,8 +72,9 @@
 	return true
 }
 
-// IsolateController cuts a controller off from the state service and the other controllers for d,
-// but not from its workers.
+// IsolateController separates a controller from the state service and the other controllers, but
+// not from its workers, for d. With refused the state service answers the controller and refuses
+// its requests; otherwise the link to it is broken.
 func (w *World) IsolateController(i int, d time.Duration, refused, hold bool) {
 	p := w.controllers[i]
 	if refused {
@@ -86,8 +89,8 @@
 	}
 }
 
-// CrashBefore crashes the first process that is about to send a matching effect or, with afterSend,
-// that has just sent it. The process is back after d.
+// CrashBefore crashes the first process that is about to send a matching effect, before it sends
+// the effect or, with afterSend, after it. The process starts again after d.
 func (w *World) CrashBefore(d time.Duration, afterSend bool, matches func(message.Effect) bool) {
 	w.crashCondition = func(p *controllerProcess, e message.Effect) bool {
 		if !matches(e) {
@@ -101,7 +104,7 @@
 	}
 }
 
-// crashesOn reports whether a process crashed at this effect.
+// crashesOn crashes a process if crashCondition matches the effect, and reports whether it did.
 func (w *World) crashesOn(p *controllerProcess, e message.Effect) bool {
 	ends := w.crashCondition
 	if ends == nil {
@@ -115,8 +118,8 @@
 	return false
 }
 
-// startPartialFault begins a random fault of this file, or restarts a process or worker within a
-// fraction of a second.
+// startPartialFault begins a random fault of this file, or crashes controllers or workers and
+// restarts them within a fraction of a second.
 func (w *World) startPartialFault(rng *rand.Rand) {
 	d := time.Duration(5+rng.IntN(60)) * time.Second
 	restartAfter := []time.Duration{50, 200, 500}[rng.IntN(3)] * time.Millisecond
@@ -141,9 +144,9 @@
 	}
 }
 
-// RestartWorker ends a machine's worker and starts it after d under the same name: without tasks,
-// images and epoch, in its first incarnation. What was on its way to the old process is lost with
-// its connections.
+// RestartWorker ends a machine's worker and starts it again after d with the same machine id:
+// without tasks, images and epoch, in its first incarnation. Messages on their way to the old
+// process are lost, because its connections are closed.
 func (w *World) RestartWorker(m *Worker, d time.Duration) {
 	w.clearTasks(m)
 	clear(m.images)
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -11,39 +11,43 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has users who submit jobs with dependencies: chains, joins and fans, each job as soon
-// as its dependencies are accepted, and who cancel some of them meanwhile.
+// This file models users who submit pipelines, which are jobs with dependencies: chains, fan-outs
+// and joins. A user submits a job as soon as its dependencies are accepted, or sometimes when they
+// have ended. Some users cancel jobs of their pipelines.
 
 const (
-	// minPipelines and maxPipelines bound how many pipelines a day has, and jobsPerPipeline is how
-	// many other jobs there are for each.
+	// minPipelines and maxPipelines bound the number of pipelines of a day. Between the bounds
+	// there is one pipeline for every jobsPerPipeline ordinary jobs.
 	minPipelines, maxPipelines, jobsPerPipeline = 10, 60, 3
-	// stepRunTime is about how long the tasks of a step run, and pipelineExtraTime how much later
-	// than on other days served jobs are counted, as the last steps come last.
+	// stepRunTime is the approximate run time of the tasks of a step. pipelineExtraTime is the time
+	// by which served jobs are counted later than on other days, since the last steps of a pipeline
+	// start only after the others.
 	stepRunTime       = 20 * time.Second
 	pipelineExtraTime = 3 * time.Minute
-	// maxSteps bounds the steps of a pipeline, and maxParallelJobs the jobs of a step.
+	// maxSteps is the maximum number of steps of a pipeline, and maxParallelJobs that of jobs of a
+	// step.
 	maxSteps, maxParallelJobs = 4, 4
-	// cancelFraction is the part of the pipelines that have a job cancelled, and invalidFraction
-	// the part that have a job with invalid dependencies.
+	// cancelFraction is the fraction of the pipelines of which a job is cancelled, and
+	// invalidFraction the fraction to which a job with invalid dependencies is added.
 	cancelFraction, invalidFraction = 0.5, 0.2
-	// concurrentWindow is how soon after another several controllers are asked to cancel a job, or
-	// one is asked for that and another to accept a dependent of it.
+	// concurrentWindow is the time within which several controllers are asked to cancel a job, or
+	// one controller is asked to cancel a job and another to accept a dependent of the job.
 	concurrentWindow = 20 * time.Millisecond
 )
 
-// milestone is an event that happens once to a job.
+// milestone is an event that occurs at most once for a job.
 type milestone string
 
 const (
-	// milestoneAccepted is when the user knows that the job is accepted, milestoneTasksDone when
-	// its last task is done, and milestoneFinal when the user knows its final state.
+	// milestoneAccepted occurs when the user knows that the job is accepted, milestoneTasksDone
+	// when the last task is done on its worker, and milestoneFinal when the user knows the final
+	// state.
 	milestoneAccepted  milestone = "accepted"
 	milestoneTasksDone milestone = "ended"
 	milestoneFinal     milestone = "over"
 )
 
-// hasReached reports whether a milestone has been reached.
+// hasReached reports whether a job has reached a milestone.
 func (j *userJob) hasReached(m milestone) bool {
 	switch m {
 	case milestoneAccepted:
@@ -55,7 +59,7 @@
 	}
 }
 
-// onMilestone calls fn at a milestone, or now if it has been reached.
+// onMilestone calls fn when the job reaches a milestone, or immediately if it has reached it.
 func (j *userJob) onMilestone(m milestone, fn func()) {
 	if j.hasReached(m) {
 		fn()
@@ -64,7 +68,7 @@
 	j.hooks[m] = append(j.hooks[m], fn)
 }
 
-// runHooks calls what waits for milestones that have been reached.
+// runHooks calls and removes the functions that wait for milestones that the job has reached.
 func (j *userJob) runHooks() {
 	for _, m := range []milestone{milestoneAccepted, milestoneTasksDone, milestoneFinal} {
 		if fns := j.hooks[m]; len(fns) > 0 && j.hasReached(m) {
@@ -76,7 +80,7 @@
 	}
 }
 
-// onAllReached calls fn when all jobs have reached a milestone.
+// onAllReached calls fn when all jobs have reached a milestone, immediately if there are no jobs.
 func onAllReached(jobs []*userJob, m milestone, fn func()) {
 	left := len(jobs)
 	if left == 0 {
@@ -91,7 +95,8 @@
 	}
 }
 
-// linkDependencies links a job with its dependencies, as far as they were submitted.
+// linkDependencies links a job with those of its dependencies that were submitted, and sets
+// dependenciesAccepted.
 func (w *World) linkDependencies(j *userJob) {
 	j.dependenciesAccepted = len(j.spec.Dependencies) > 0
 	for _, id := range j.spec.Dependencies {
@@ -104,13 +109,14 @@
 	}
 }
 
-// submitAfter submits a job as soon as all others have reached a milestone.
+// submitAfter submits a job when all others have reached a milestone.
 func (w *World) submitAfter(j *userJob, m milestone, others ...*userJob) {
 	onAllReached(others, m, func() { w.submitJob(j) })
 }
 
-// CancelAt cancels a job at count controllers, from first on, within concurrentWindow, trying until
-// one confirms it.
+// CancelAt sends the cancellation of a job to count controllers within concurrentWindow, beginning
+// with the controller with index first. Failed requests are repeated until a controller confirms
+// the cancellation.
 func (w *World) CancelAt(id string, first, count int) {
 	j := w.jobs[id]
 	j.cancelRequested = true
@@ -129,15 +135,15 @@
 	}
 }
 
-// resubmit submits an accepted job once more: it must be known, whatever became of its
-// dependencies.
+// resubmit submits an accepted job again and checks that the controller knows the job, in whatever
+// state its dependencies are.
 func (w *World) resubmit(j *userJob) {
 	to := w.rng.IntN(len(w.controllers))
 	w.checkedRequest(to, j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
 }
 
-// generatePipeline draws a pipeline: steps of one or several jobs, each depending on all jobs of
-// the step before, and an urgent last job with a deadline.
+// generatePipeline draws a pipeline. Each job of a step depends on all jobs of the previous step.
+// The last step is a single urgent job with a deadline.
 func (d *Day) generatePipeline(w *World, rng *rand.Rand) (steps [][]*userJob) {
 	team := d.Settings.Teams[rng.IntN(d.Teams)].Name
 	var before []string
@@ -169,7 +175,8 @@
 	return steps
 }
 
-// submitPipelines schedules the day's pipelines, and cancellations of some of their jobs.
+// submitPipelines schedules the day's pipelines, cancellations of some of their jobs, and jobs with
+// invalid dependencies. Every job is submitted again after the last one has ended.
 func (d *Day) submitPipelines(w *World) {
 	if !d.Pipelines {
 		return
@@ -180,7 +187,8 @@
 		steps := d.generatePipeline(w, rng)
 		at := time.Duration(rng.Float64() * float64(span))
 		if d.Cancels != nil && rng.IntN(3) > 0 {
-			// So that much of it is in progress when the faults overlap.
+			// Start most pipelines in the minute before the mass cancellation, so that their jobs
+			// are in progress when the faults overlap.
 			at = max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(time.Minute)))
 		}
 		late := rng.IntN(4) == 0
@@ -212,9 +220,10 @@
 	}
 }
 
-// cancelPipelineJob schedules the cancellation of one job of a pipeline: at any time, at once, just
-// when its last task is done, or just when its dependents are submitted to another controller; at
-// one controller or several. Some users submit one more dependent of it later.
+// cancelPipelineJob schedules the cancellation of one job of a pipeline, at one controller or
+// several. The time of the cancellation is random, shortly after the job is accepted, shortly after
+// its last task is done, or when its dependents are submitted to another controller. Some users
+// submit another dependent of the cancelled job later.
 func (d *Day) cancelPipelineJob(w *World, rng *rand.Rand, steps [][]*userJob, at time.Duration) {
 	k := rng.IntN(len(steps))
 	j := steps[k][rng.IntN(len(steps[k]))]
@@ -237,7 +246,7 @@
 	case 2:
 		j.onMilestone(milestoneTasksDone, func() { w.schedule(soon/2, cancelJob) })
 	case 3:
-		// Its dependents are submitted when all jobs of its step are accepted.
+		// The dependents of the job are submitted when all jobs of the step are accepted.
 		onAllReached(steps[k], milestoneAccepted, cancelJob)
 	}
 	if rng.IntN(2) == 0 {
@@ -249,8 +258,8 @@
 	}
 }
 
-// submitInvalidDependencies submits a job that must be refused: it depends on a job that was never
-// accepted, on itself, or on one job twice.
+// submitInvalidDependencies submits a job that the controllers must refuse: it depends on a job
+// that was never submitted, on itself, or on the same job twice.
 func (d *Day) submitInvalidDependencies(w *World, rng *rand.Rand, steps [][]*userJob) {
 	first := steps[0][0]
 	spec := first.spec
--- a/internal/simulation/promises.go
+++ b/internal/simulation/promises.go
@@ -7,25 +7,26 @@
 	"github.com/micahill/micahill/internal/promise"
 )
 
-// PromiseSummary is the outcome of a day's promised completion dates. Ended to WorstS are the
-// totals in the state service; the rest is what users saw.
+// PromiseSummary is the outcome of a day's promised completion dates. The fields from Ended to
+// WorstS are the totals in the state service's record; the other fields are computed from what
+// users got.
 type PromiseSummary struct {
 	Ended   int     `json:"ended"`
 	Made    int     `json:"made"`
 	Kept    float64 `json:"kept"`
 	Revised int     `json:"revised"`
 	WorstS  float64 `json:"worst_s"`
-	// DatedAtFirst is the part of the accepted jobs that had a promised date in the first answer.
-	// MedianDateS and MedianFinishS are the median promised and actual times from submission to
-	// completion of done jobs, in seconds.
+	// DatedAtFirst is the fraction of the accepted jobs that had a promised date in the first
+	// answer. MedianDateS and MedianFinishS are the medians of the promised and the actual time
+	// from submission to completion of done jobs, in seconds.
 	DatedAtFirst  float64 `json:"first"`
 	MedianDateS   float64 `json:"median_date_s"`
 	MedianFinishS float64 `json:"median_finish_s"`
-	// PageWritesPerS is the rate of writes of pages of promised dates.
+	// PageWritesPerS is the mean rate at which records with pages of promised dates were changed.
 	PageWritesPerS float64 `json:"pages_per_s"`
 }
 
-// promiseSummary returns the outcome of the promises, nil if they are switched off.
+// promiseSummary returns the outcome of the promised dates, or nil if promises are switched off.
 func (w *World) promiseSummary() *PromiseSummary {
 	if !w.settings.Capabilities.Promises {
 		return nil
--- a/internal/simulation/protocol_faults.go
+++ b/internal/simulation/protocol_faults.go
@@ -8,14 +8,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// This file has the faults that the protocol's addition names: unreachable machines, late copies of
-// heartbeats, controllers that reach only their workers, and processes and machines that are back
-// within a fraction of a second.
+// This file has the faults that the addition to the protocol names: unreachable machines, late
+// copies of heartbeats, controllers that reach only their workers, and processes and machines that
+// restart within a fraction of a second.
 
-// protocolFaultKinds are these faults. A kind that stands more often is drawn more often.
+// protocolFaultKinds are the kinds of the faults of this file. Faults are drawn uniformly from the
+// list, so a repeated kind is drawn more often.
 var protocolFaultKinds = []string{"deaf_machine", "deaf_machine", "copies", "copies", "cut_alone", "cut_alone", "election", "election", "back_machine"}
 
-// generateProtocolFaults adds faults of this file to a day, with random numbers of its own.
+// generateProtocolFaults adds faults of this file to a day. It has its own random stream.
 func generateProtocolFaults(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 2236))
 	for range 1 + rng.IntN(4) {
@@ -45,12 +46,12 @@
 	d.sortFaults()
 }
 
-// logUniform draws a duration from a to b, whose logarithm is uniform.
+// logUniform draws a duration between a and b whose logarithm is uniformly distributed.
 func logUniform(rng *rand.Rand, a, b time.Duration) time.Duration {
 	return time.Duration(float64(a) * math.Pow(float64(b)/float64(a), rng.Float64()))
 }
 
-// startProtocolFault begins a fault of this file, and reports whether it is one.
+// startProtocolFault begins a fault if its kind belongs to this file, and reports whether it does.
 func (w *World) startProtocolFault(f Fault, rng *rand.Rand) bool {
 	p := w.controllers[f.Controller%len(w.controllers)]
 	switch f.Kind {
@@ -62,7 +63,8 @@
 	case "cut_alone":
 		w.IsolateController(p.index, f.Duration, f.Link == "refused", f.HoldMessages)
 	case "election":
-		// The leader, then whoever leads by then, then again that one or all.
+		// Crash the leader, after Delay the leader of that time, and after another Delay again the
+		// leader or, with HoldMessages, all controllers.
 		w.CrashController(w.leaderIndex(f.Controller), f.RestartAfter)
 		w.schedule(f.Delay, func() { w.CrashController(w.leaderIndex(f.Controller), f.RestartAfter) })
 		w.schedule(2*f.Delay, func() {
@@ -82,7 +84,7 @@
 	return true
 }
 
-// leaderName returns who leads by the record in the state service, or "".
+// leaderName returns the name of the leader in the state service's record, or "" if there is none.
 func (w *World) leaderName() string {
 	var lead struct {
 		Host string `msgpack:"host"`
@@ -93,7 +95,8 @@
 	return lead.Host
 }
 
-// leaderIndex returns the index of the controller that leads, or other if none does.
+// leaderIndex returns the index of the leader, or other modulo the number of controllers if there
+// is no leader.
 func (w *World) leaderIndex(other int) int {
 	if i := w.controllerIndex(w.leaderName()); i >= 0 {
 		return i
--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -10,44 +10,47 @@
 )
 
 const (
-	// maxOutdatedStartDelay is how long after a change of the ranking a start may leave that was
-	// decided under the older one.
+	// maxOutdatedStartDelay is how long after a change of the ranking a controller may still send a
+	// start that it decided under the previous ranking.
 	maxOutdatedStartDelay = 2 * time.Second
-	// rankingSettleTime is how long a ranking must have held, and a job been accepted, for its
-	// shard leader to know of it, unless there are faults.
+	// rankingSettleTime is the time after which, without faults, a shard leader knows a changed
+	// ranking or an accepted job. The order is checked only after this time.
 	rankingSettleTime = 5 * time.Second
-	// maxOrderedWait is the shortest time after which aging may change the order of waiting jobs.
+	// maxOrderedWait is the shortest wait after which aging may change the order of waiting jobs.
 	maxOrderedWait = 100 * time.Second
 )
 
-// rankingChecker checks the ranking from outside: no start that was decided under an older ranking
-// leaves late, and of two waiting jobs that fit a machine the one that ranks lower does not get it.
-// A nil rankingChecker checks nothing.
+// rankingChecker checks by the controllers' effects that they follow the ranking. A controller must
+// not send a start long after the ranking changed under which it was decided. Of two waiting jobs
+// that fit a machine, the job that ranks lower must not get the machine. A nil rankingChecker
+// checks nothing.
 type rankingChecker struct {
 	world *World
-	// revisions are the mod revisions of the ranking's record, and changedAt when each came; the
-	// last one holds.
+	// revisions are the mod revisions of the ranking's record, and changedAt the times at which
+	// each was first seen. The last one is the current ranking.
 	revisions []uint64
 	changedAt []time.Time
-	// table is the ranking that holds.
+	// table is the current ranking.
 	table *ranking.Table
-	// decidedUnder is the ranking that each attempt was decided under, startSent has the attempts
-	// whose start has left, and placedTasks the tasks of each job that were ever placed.
+	// decidedUnder has, for each attempt, the mod revision of the ranking under which it was
+	// decided. startSent has the attempts whose start was sent. placedTasks has the tasks of each
+	// job that were placed at some time.
 	decidedUnder map[string]uint64
 	startSent    map[string]bool
 	placedTasks  map[string]map[int]bool
-	// startsOnly: starts are checked, but not the order.
+	// startsOnly makes the checker check only starts and not the order of jobs.
 	startsOnly bool
-	// OutdatedStarts counts starts that left after a change of the ranking, in time.
+	// OutdatedStarts counts the starts that were sent after a change of the ranking under which
+	// they were decided, whether within maxOutdatedStartDelay or not.
 	OutdatedStarts int
 }
 
-// CheckRanking switches the checks on.
+// CheckRanking enables the checks of rankingChecker.
 func (w *World) CheckRanking() {
 	w.rankingCheck = &rankingChecker{world: w, revisions: []uint64{0}, changedAt: []time.Time{w.now}, decidedUnder: map[string]uint64{}, startSent: map[string]bool{}, placedTasks: map[string]map[int]bool{}}
 }
 
-// noteRanking notes the ranking that the state service holds.
+// noteRanking reads the ranking's record in the state service and records a change.
 func (r *rankingChecker) noteRanking() {
 	if r == nil {
 		return
@@ -68,8 +71,8 @@
 	}
 }
 
-// onDecision reads the decisions of a controller's step from its debug log: the event "task placed" with
-// its keys job, task, try, machine and ranking.
+// onDecision records and checks the placement decisions of a controller. It reads them from the
+// debug log event "task placed" with the keys job, task, try, machine and ranking.
 func (r *rankingChecker) onDecision(p *controllerProcess, e message.Effect) {
 	l, ok := e.(message.Log)
 	if r == nil || !ok || l.Message != "task placed" {
@@ -88,8 +91,9 @@
 	r.checkOrder(p, id, r.world.machines[fmt.Sprint(args["machine"])])
 }
 
-// checkOrder looks for a job that ranks before one that was just placed, has waited for a while,
-// and fits the machine. A job that waits for longer than maxOrderedWait may go first by aging.
+// checkOrder reports a violation if a job that ranks before the just placed job id has waited for
+// rankingSettleTime and fits the machine m. It checks nothing if the placed job has waited for
+// longer than maxOrderedWait, since aging may then place it first.
 func (r *rankingChecker) checkOrder(p *controllerProcess, id string, m *Worker) {
 	w := r.world
 	j := w.jobs[id]
@@ -103,7 +107,7 @@
 		switch {
 		case o == j || s.Team != j.spec.Team || s.Gang || s.SameZone || s.SpreadZones || o.isCancelled() || o.alwaysFails:
 		case !o.dependenciesDone() || w.now.Sub(o.eligibleSince()) < rankingSettleTime || len(j.dependents) > 0:
-			// Jobs that others depend on may go first for their sake.
+			// A job that others depend on may be placed first to unblock them.
 		case r.table.Rank(s.Workload, int(s.Urgency)) >= place:
 		case o.lastState != "queued" || w.now.Sub(o.lastStateAt) < rankingSettleTime || len(r.placedTasks[x]) >= s.Tasks:
 		case !s.Need.Fits(j.spec.Need) || len(s.MachineTypes) > 0 || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot:
@@ -113,7 +117,7 @@
 	}
 }
 
-// onSend notes what leaves a controller for certain.
+// onSend records and checks the starts in an effect that a controller sends.
 func (r *rankingChecker) onSend(p *controllerProcess, e message.Effect) {
 	if r == nil {
 		return
@@ -129,7 +133,7 @@
 		name := fmt.Sprintf("%s/%d#%d", o.Job, o.Index, o.Attempt)
 		under, known := r.decidedUnder[name]
 		if o.Kind != model.StartTask || r.startSent[name] || !known {
-			// Commands that may have left before are repeated as ever.
+			// Repetitions of a start that was sent before are allowed.
 			continue
 		}
 		r.startSent[name] = true
@@ -145,7 +149,8 @@
 	}
 }
 
-// SetRanking sets a ranking at controller i. onReply is called with the answer, if there is one.
+// SetRanking sends a request to set the ranking to controller i. onReply is called with the answer
+// if there is one.
 func (w *World) SetRanking(i int, c message.SetRanking, onReply func(message.RankingReply)) {
 	c.Deadline = w.now.Add(4 * time.Second)
 	w.controllers[i].request(func(reply uint64) message.Command { c.Reply = reply; return c }, func(e message.Effect) { onReply(e.(message.RankingReply)) })
--- a/internal/simulation/run_day.go
+++ b/internal/simulation/run_day.go
@@ -10,13 +10,13 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// RunDay plays a day to its end: jobs are submitted during its minutes, what was served is counted
-// three minutes later, and the day goes on until every job had its time to start and to be polled.
-// Debug lines of the controllers are kept if they contain one of the words of trace, which are
-// separated by "|".
+// RunDay runs a day to its end. Jobs are submitted during the day's minutes, and served jobs are
+// counted three minutes later or after the last fault. The day ends when every job has had the time
+// in which it must start and its queries must be answered. Debug lines of the controllers are kept
+// if they contain one of the words of trace, a list separated by "|".
 func RunDay(d Day, trace string) DayResult { return d.run(trace, nil) }
 
-// run is RunDay with a controller that is made wrong on purpose, unless corrupt is nil: corrupt
+// run is RunDay with controllers that break rules on purpose if corrupt is not nil. corrupt
 // replaces each effect of a controller, or drops it by returning nil.
 func (d Day) run(trace string, corrupt func(*World, message.Effect) message.Effect) DayResult {
 	w := d.newWorld(trace, corrupt)
@@ -48,7 +48,7 @@
 	return r
 }
 
-// newWorld makes the world of a day, without jobs and faults.
+// newWorld returns the world of a day, without jobs and faults.
 func (d *Day) newWorld(trace string, corrupt func(*World, message.Effect) message.Effect) *World {
 	types, capacity := d.cloudInventory()
 	w := NewWorld(d.Seed, d.Controllers, d.Settings, d.cancelWithin(), types, capacity)
@@ -64,7 +64,8 @@
 	return w
 }
 
-// submitJobs schedules the day's ordinary jobs, and the cancellations of some of them.
+// submitJobs schedules the submissions of the day's ordinary jobs and the cancellations of some of
+// them. Jobs are submitted within duration.
 func (d *Day) submitJobs(w *World, rng *rand.Rand, mix *jobMix, duration time.Duration) {
 	failureRNG := rand.New(rand.NewPCG(d.Seed, 816))
 	cancelRNG := rand.New(rand.NewPCG(d.Seed, 817))
@@ -121,7 +122,7 @@
 	}, run
 }
 
-// nextJobID gives a new job its id.
+// nextJobID returns the id for a new job.
 func (w *World) nextJobID() string {
 	w.lastID++
 	return fmt.Sprintf("job-%06d", w.lastID)
--- a/internal/simulation/search.go
+++ b/internal/simulation/search.go
@@ -12,30 +12,32 @@
 	"github.com/micahill/micahill/internal/search"
 )
 
-// This file draws days for a search by the margins that they leave, mutates them, and keeps them as
-// files that can be played again.
+// This file defines the search for the days with the smallest margins: it draws, mutates and
+// evaluates days. It also saves days to files and loads them.
 
 const (
-	// maxSearchFaults bounds the faults of a day of a search.
+	// maxSearchFaults is the number of faults from which on a mutation adds no fault.
 	maxSearchFaults = 6
-	// maxSearchShift is how far a mutation shifts a fault.
+	// maxSearchShift is the longest time by which a mutation shifts a fault.
 	maxSearchShift = 20 * time.Second
-	// firstSearchFault is when the first fault may begin, and lastSearchFaultAfter how long after
-	// the last submission the last one may.
+	// firstSearchFault is the earliest begin of a fault, counted from the day's begin, and
+	// lastSearchFaultAfter the latest, counted from the last submission.
 	firstSearchFault     = 20 * time.Second
 	lastSearchFaultAfter = time.Minute
-	// minSearchMachines is the least number of machines of a drawn day, which has up to four times
-	// as many, and searchMinutes how long jobs are submitted: many short days find more than a few
-	// long ones.
+	// minSearchMachines is the smallest number of machines of a drawn day; the largest is almost
+	// four times as many. searchMinutes is how long jobs are submitted: in the same time, many
+	// short days find more than a few long ones.
 	minSearchMachines = 15
 	searchMinutes     = 2
 )
 
-// UntimedRules names the margin of all rules without a time: 1, or -1 if a rule is broken.
+// UntimedRules is the name of a margin for all rules that bound no duration. It is -1 if the day
+// has a violation of any rule, otherwise 1.
 const UntimedRules = "others"
 
-// SearchProblem is the search among days with overlapping faults like p, whose zeros are drawn.
-// onResult is called with each day that was played, from several goroutines at a time.
+// SearchProblem returns the search problem over days with overlapping faults and the parameters p;
+// parameters that are 0 are drawn. onResult is called with the result of each day, from several
+// goroutines at a time.
 func SearchProblem(p DayParams, onResult func(DayResult)) search.Problem[Day] {
 	return search.Problem[Day]{
 		Generate: func(rng *rand.Rand) Day {
@@ -67,7 +69,7 @@
 	}
 }
 
-// margins returns the seconds that are left to each timed rule, and UntimedRules.
+// margins returns the margin of each timed rule in seconds, and that of UntimedRules.
 func (r *DayResult) margins() map[string]float64 {
 	out := map[string]float64{UntimedRules: 1}
 	if len(r.Violations) > 0 {
@@ -79,7 +81,7 @@
 	return out
 }
 
-// generateAnyFault draws a fault of any kind that begins within the day.
+// generateAnyFault draws a fault of overlapFaultKinds or extraFaultKinds with its begin.
 func (d *Day) generateAnyFault(rng *rand.Rand) Fault {
 	f := d.generateFault(rng)
 	if rng.IntN(2) == 0 {
@@ -89,17 +91,18 @@
 	return f
 }
 
-// latestFaultStart returns when the last fault of a day of a search may begin.
+// latestFaultStart returns the latest time at which a fault of a day of a search may begin.
 func (d *Day) latestFaultStart() time.Duration {
 	return time.Duration(d.Minutes)*time.Minute + lastSearchFaultAfter
 }
 
-// clampFaultStart returns the time closest to at when a fault may begin.
+// clampFaultStart returns the time closest to at at which a fault may begin.
 func (d *Day) clampFaultStart(at time.Duration) time.Duration {
 	return min(max(at, firstSearchFault), d.latestFaultStart())
 }
 
-// addFault adds a fault close to another one, so that they overlap.
+// addFault adds a fault. If there are other faults, it begins close to one of them, so that they
+// overlap.
 func (d *Day) addFault(rng *rand.Rand, f Fault) {
 	if len(d.Faults) > 0 {
 		f.At = d.clampFaultStart(d.Faults[rng.IntN(len(d.Faults))].At + randomShift(rng))
@@ -108,8 +111,7 @@
 	d.sortFaults()
 }
 
-// randomShift draws by how much something is shifted; its logarithm is uniform, and its sign
-// random.
+// randomShift draws a positive or negative shift whose logarithm is uniformly distributed.
 func randomShift(rng *rand.Rand) time.Duration {
 	by := logUniform(rng, 50*time.Millisecond, maxSearchShift)
 	if rng.IntN(2) == 0 {
@@ -118,7 +120,7 @@
 	return by
 }
 
-// mutated returns a day that differs from d in one respect.
+// mutated returns a copy of d with one random change of its faults or mass cancellation.
 func (d Day) mutated(rng *rand.Rand) Day {
 	d.Faults = slices.Clone(d.Faults)
 	if d.Cancels != nil {
@@ -161,7 +163,7 @@
 	return d
 }
 
-// Save writes a day to a file that LoadDay reads.
+// Save writes a day to a file that LoadDay can read.
 func (d Day) Save(file string) error {
 	b, err := json.MarshalIndent(d, "", "  ")
 	if err != nil {
@@ -170,8 +172,8 @@
 	return os.WriteFile(file, append(b, '\n'), 0o644)
 }
 
-// LoadDay reads a day that Save wrote. The day is drawn again from its parameters, with the faults
-// and cancellations of the file.
+// LoadDay reads a day that Save wrote. It generates the day from the parameters in the file, and
+// replaces its faults and mass cancellation by those in the file.
 func LoadDay(file string) (Day, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -1,6 +1,6 @@
-// Package simulation has models of the state service, the cloud, the workers and the users, written
-// from the protocol, and a world in virtual time in which real controllers meet them, with faults.
-// Most tests of the controllers' behaviour are built on it.
+// Package simulation models the state service, the cloud, the workers and the users as the protocol
+// describes them. World runs real controllers against these models in virtual time and injects
+// faults. Most tests of the controllers' behaviour are built on this package.
 package simulation
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// maxKeptChanges is how many changes the state service keeps for watches.
+// maxKeptChanges is the number of changes that the state service keeps for watches.
 const maxKeptChanges = 10000
 
-// StateService is a model of the state service. It knows nothing of networks: the caller brings
-// requests to it and takes answers away. It is not safe for concurrent use.
+// StateService models the state service without the network: callers pass it requests and receive
+// its answers. It is not safe for concurrent use.
 type StateService struct {
 	revision    uint64
 	records     map[string]*storedRecord
@@ -26,23 +26,23 @@
 	writeCount int
 	// changes are the kept changes, in the order of their revisions.
 	changes []message.KeyValue
-	// onChange, if not nil, is called with every change. pageWrites counts writes of pages of
-	// promised dates.
+	// onChange, if not nil, is called with every change. pageWrites counts changes of the records
+	// that hold pages of promised dates.
 	onChange   func(message.KeyValue)
 	pageWrites int
 	// compactedRevision is the newest revision whose change is no longer kept.
 	compactedRevision uint64
 	watches           []*pendingWatch
-	// limits is nil if the service has none; see SetLimits.
+	// limits is nil if the service has no limits; see SetLimits.
 	limits *storeLimits
-	// Malformed counts malformed requests, LastMalformed says what was wrong with the last of them,
-	// and RateLimited counts the requests above the rates.
+	// Malformed counts malformed requests, and LastMalformed is the error of the last one.
+	// RateLimited counts the requests that exceeded a rate limit.
 	Malformed     int
 	LastMalformed string
 	RateLimited   int
 }
 
-// storedRecord is a record of the key-value store. leaseID is 0 if it has no lease.
+// storedRecord is a record of the key-value store. leaseID is 0 if the record has no lease.
 type storedRecord struct {
 	value       []byte
 	modRevision uint64
@@ -62,12 +62,12 @@
 	answer    func(message.StoreResponse)
 }
 
-// NewStateService makes an empty state service without limits.
+// NewStateService returns an empty state service without limits.
 func NewStateService() *StateService {
 	return &StateService{records: map[string]*storedRecord{}, leases: map[uint64]*leaseState{}}
 }
 
-// Expire ends the leases and watches whose time has come.
+// Expire revokes the leases and answers the watches that have expired by now.
 func (s *StateService) Expire(now time.Time) {
 	ids := make([]uint64, 0, len(s.leases))
 	for id := range s.leases {
@@ -90,14 +90,14 @@
 	s.watches = keep
 }
 
-// RenewLeases gives every lease its full time again, as after an outage.
+// RenewLeases renews every lease to its full TTL. The service does this after an outage.
 func (s *StateService) RenewLeases(now time.Time) {
 	for _, l := range s.leases {
 		l.expiresAt = now.Add(l.ttl)
 	}
 }
 
-// revokeLease ends a lease and deletes its records, in one revision.
+// revokeLease removes a lease and deletes its records in one revision.
 func (s *StateService) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var keys []string
@@ -117,7 +117,7 @@
 	s.notifyWatches()
 }
 
-// remove deletes a record, if there is one.
+// remove deletes the record of a key if there is one.
 func (s *StateService) remove(key string) {
 	if _, ok := s.records[key]; ok {
 		delete(s.records, key)
@@ -125,7 +125,7 @@
 	}
 }
 
-// recordChange keeps a change for watches.
+// recordChange keeps a change for watches and drops the oldest change beyond maxKeptChanges.
 func (s *StateService) recordChange(kv message.KeyValue) {
 	s.changes = append(s.changes, kv)
 	if strings.HasPrefix(kv.Key, "open/~") {
@@ -140,7 +140,7 @@
 	}
 }
 
-// notifyWatches answers the watches for which there are changes.
+// notifyWatches answers the pending watches for which there are changes.
 func (s *StateService) notifyWatches() {
 	keep := s.watches[:0]
 	var ready []*pendingWatch
@@ -157,7 +157,7 @@
 	}
 }
 
-// changesSince returns the kept changes after a revision to keys with a prefix.
+// changesSince returns the kept changes of keys with a prefix that are newer than a revision.
 func (s *StateService) changesSince(prefix string, revision uint64) []message.KeyValue {
 	var out []message.KeyValue
 	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].ModRevision > revision })
@@ -169,13 +169,13 @@
 	return out
 }
 
-// malformed reports whether a request exceeds the present limits.
+// malformed reports whether the service's limits make a request malformed.
 func (s *StateService) malformed(op *message.StoreRequest) bool {
 	return s.limits != nil && s.limits.validate(op) != nil
 }
 
-// Do executes a request. The answer to a watch may come later, from another call. Without limits it
-// takes requests of any size, as often as they come.
+// Do executes a request and calls answer with the response. The answer to a watch may come later,
+// from a call of another method. Without limits Do accepts requests of any size at any rate.
 func (s *StateService) Do(now time.Time, op message.StoreRequest, answer func(message.StoreResponse)) {
 	s.Expire(now)
 	out := message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: s.revision}
@@ -232,15 +232,16 @@
 	answer(out)
 }
 
-// listPage is how many rows a list has without limits; it is small, so that tests read several
-// pages. An answer has at most listBytes.
+// listPage is the maximum number of rows in the answer to a list request of a service without
+// limits. It is small so that tests read several pages. listBytes bounds the estimated size of an
+// answer; an answer has at least one row.
 const (
 	listPage  = 100
 	listBytes = 512 << 10
 )
 
-// list returns a page of the records with a prefix whose keys come after startAfter, and whether there
-// are more.
+// list returns the first page of the records with a prefix whose keys are greater than startAfter,
+// and whether there are more.
 func (s *StateService) list(prefix, startAfter string) ([]message.KeyValue, bool) {
 	var keys []string
 	for k := range s.records {
@@ -268,7 +269,8 @@
 	return out, more
 }
 
-// txn applies the writes of a transaction if all compares hold.
+// txn applies the writes of a transaction in one revision if all compares hold and all leases
+// exist.
 func (s *StateService) txn(op message.StoreRequest, out *message.StoreResponse) {
 	for _, a := range op.Writes {
 		if _, ok := s.leases[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -12,29 +12,29 @@
 	"golang.org/x/time/rate"
 )
 
-// StoreRateLimited stands for the status 429, which controllers never see: their client tries
-// again.
+// StoreRateLimited is the status of a request that exceeds a rate limit (HTTP 429). Controllers
+// never get it, because their client sends the request again.
 const StoreRateLimited message.StoreStatus = -1
 
-// storeLimits are the limits of the protocol and the settings. Sizes are counted by encoding the
-// JSON, on purpose: the controllers compute them in another way, and would agree with their own
-// mistakes.
+// storeLimits are the limits of the protocol and the settings. Sizes are those of the encoded JSON.
+// The controllers compute sizes without encoding; sharing their code would hide its mistakes.
 type storeLimits struct {
 	valueBytes, writesPerTxn, pageRows int
 	requests, writes                   *rate.Limiter
 }
 
 const (
-	// maxKeyBytes bounds a key, and maxTxnBytes a transaction, as in the protocol.
+	// maxKeyBytes and maxTxnBytes are the protocol's limits on the size of a key and of a
+	// transaction.
 	maxKeyBytes = 200
 	maxTxnBytes = 64 << 10
-	// maxPageRows is how many rows a list has at most.
+	// maxPageRows is the maximum number of rows in the answer to a list request.
 	maxPageRows = 1000
 )
 
-// SetLimits sets the limits on the size of values and transactions, and on requests and writes a
-// second, with bursts of one second's worth. Settings without sizes leave the service without
-// limits.
+// SetLimits sets the limits on the size of values and transactions, and on requests and writes per
+// second with bursts of one second's worth. The limits stay as they are if the settings have no
+// sizes.
 func (s *StateService) SetLimits(settings controller.Settings) {
 	if settings.MaxTxnWrites == 0 || settings.MaxValueBytes == 0 {
 		return
@@ -51,13 +51,14 @@
 	}
 }
 
-// allow takes a request's part of the rates, if there is enough left. A transaction that is refused
-// for its writes counts as a request all the same.
+// allow reports whether the rate limits allow a request, and counts the request. A transaction that
+// is refused because of its writes still counts as a request.
 func (l *storeLimits) allow(now time.Time, op *message.StoreRequest) bool {
 	return l.requests.AllowN(now, 1) && (len(op.Writes) == 0 || l.writes.AllowN(now, len(op.Writes)))
 }
 
-// validate returns an error that says why the protocol has a request answered 400, or nil.
+// validate returns the reason why the protocol requires the answer 400 to a request, or nil if the
+// request is valid.
 func (l *storeLimits) validate(op *message.StoreRequest) error {
 	if op.Kind != message.OpTxn {
 		return nil
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// isValidKey reports whether the protocol allows a key.
+// isValidKey reports whether the protocol allows a key: not empty, at most maxKeyBytes, no white
+// space.
 func isValidKey(k string) bool {
 	return k != "" && len(k) <= maxKeyBytes && !strings.ContainsAny(k, " \t\n")
 }
--- a/internal/simulation/unlisted_faults.go
+++ b/internal/simulation/unlisted_faults.go
@@ -9,27 +9,30 @@
 )
 
 // This file has the faults that the operators did not list: machines that become ready late or
-// never, users who query again and again, jobs that always fail, a team that joins, repeated
-// crashes, and links and services that work in part.
+// never, users who query very often, jobs that always fail, a team that joins during the day,
+// repeated crashes, one-way partitions, slow answers, and workers that ignore or fail tasks.
 
-// disturbances are the temporary conditions for rented machines, users and answers.
+// disturbances is the state of the faults that slow the provisioning of machines, make users query
+// more often, or delay answers.
 type disturbances struct {
-	// slowProvisioningUntil: machines that are rented until then take provisioningFactor times as
-	// long to become ready, or, in a part neverReadyFraction, never do.
+	// slowProvisioningUntil is the time until which newly rented machines take provisioningFactor
+	// times as long to become ready. The fraction neverReadyFraction of these machines never
+	// becomes ready.
 	slowProvisioningUntil time.Time
 	provisioningFactor    float64
 	neverReadyFraction    float64
-	// pollStormUntil: until then users query pollFactor times as often.
+	// pollStormUntil is the time until which users query pollFactor times as often.
 	pollStormUntil time.Time
 	pollFactor     float64
-	// slowAnswersUntil: until then answers of the cloud and the state service are up to answerDelay
-	// late.
+	// slowAnswersUntil is the time until which answers of the cloud and the state service are
+	// delayed by up to answerDelay.
 	slowAnswersUntil time.Time
 	answerDelay      time.Duration
 }
 
-// provisioningTime draws how long a machine that is rented now takes to become ready: mostly about
-// what its type says, sometimes several times as long, and rarely for ever.
+// provisioningTime draws how long a machine that is rented at this moment takes to become ready:
+// usually about the time of its machine type, sometimes several times as long. Rarely the machine
+// never becomes ready.
 func (w *World) provisioningTime(f model.MachineType) time.Duration {
 	d := w.jitter(f.ProvisioningTime)
 	if w.disturbances == nil {
@@ -49,7 +52,7 @@
 	return d
 }
 
-// pollInterval returns how long a user waits before the next query.
+// pollInterval returns how long a user waits before the next query, given the usual interval.
 func (w *World) pollInterval(d time.Duration) time.Duration {
 	if w.disturbances != nil && w.now.Before(w.disturbances.pollStormUntil) {
 		return time.Duration(float64(d) / w.disturbances.pollFactor)
@@ -57,12 +60,13 @@
 	return d
 }
 
-// unlistedKinds are the kinds of this file, and those that such days have more of. A kind that
-// stands more often is drawn more often.
+// unlistedKinds are the kinds of this file, and the listed kinds that are more frequent on days
+// with unlisted faults. Faults are drawn uniformly from the list, so a repeated kind is drawn more
+// often.
 var unlistedKinds = []string{"boots", "boots", "boots", "polls", "polls", "again", "again_all", "one_way", "one_way", "slow_answers", "lazy", "capacity", "price", "faulty", "cut", "cut", "refused"}
 
-// generateUnlistedFaults adds faults of this file to a day, with random numbers of its own: the
-// rest of the day is as without it.
+// generateUnlistedFaults adds unlisted faults to a day, and possibly jobs that always fail and a
+// guest team. It has its own random stream, so that the rest of the day stays the same.
 func generateUnlistedFaults(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 1618))
 	d.failingFraction = []float64{0, 0.04, 0.04, 0.1}[rng.IntN(4)]
@@ -92,7 +96,7 @@
 	d.sortFaults()
 }
 
-// startUnlistedFault begins a fault of this file, and reports whether it is one.
+// startUnlistedFault begins a fault if its kind belongs to this file, and reports whether it does.
 func (w *World) startUnlistedFault(f Fault, rng *rand.Rand) bool {
 	switch f.Kind {
 	case "boots":
@@ -113,7 +117,7 @@
 			}
 		}
 	case "one_way":
-		// Either answers or requests are lost.
+		// Either the messages of the controller or the messages to it are lost.
 		name := w.controllers[f.Controller%len(w.controllers)].name
 		if f.HoldMessages {
 			w.partitionOneWay(name, f.Link, f.Duration)
@@ -150,8 +154,9 @@
 	return true
 }
 
-// submitGuestJobs schedules the jobs of the guest team in the middle of the day: some long jobs
-// without an SLO, one of very many short tasks, and many of a single task.
+// submitGuestJobs schedules the jobs of the guest team, if there is one, from a third of the day
+// on: some long jobs without an SLO, one job of very many short tasks, and many jobs of a single
+// task.
 func (d *Day) submitGuestJobs(w *World, rng *rand.Rand, span time.Duration) {
 	if d.guestTeam == "" {
 		return
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -9,86 +9,94 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// userJob is a job as its user knows it, with what the workers did of it.
+// userJob is a job with what its user knows of it and what the workers have done for it.
 type userJob struct {
 	spec model.JobSpec
-	// run is how long a task runs.
+	// run is the run time of a task.
 	run time.Duration
-	// alwaysFails: its tasks fail on every machine.
+	// alwaysFails makes the job's tasks fail on every machine.
 	alwaysFails bool
 	doneTasks   map[int]bool
 	// checkpoints is the run time that each task has left after its last checkpoint.
 	checkpoints map[int]time.Duration
-	// machines are the machines that have, or had, an attempt of each task, and firstStarts when
-	// each task first ran.
+	// machines are the machines that have or had an attempt of each task. firstStarts has the time
+	// of each task's first start.
 	machines    map[int][]*Worker
 	firstStarts map[int]time.Time
 
-	// accepted: the user was answered that the job is accepted.
+	// accepted says that the user got an answer that the job is accepted.
 	accepted bool
-	// lastState is the newest state that the user was answered, since lastStateAt.
+	// lastState is the newest state of the job that the user got as an answer. lastStateAt is the
+	// time of the answer that first had this state.
 	lastState       string
 	lastStateAt     time.Time
 	cancelRequested bool
-	// refusedStatus is the HTTP status with which the job was refused for good, or 0.
+	// refusedStatus is the HTTP status with which the job was permanently refused, or 0.
 	refusedStatus int
 	submitted     time.Time
 	finished      time.Time
-	// promised is the newest promised time from submission to completion, and promiseRevision its
-	// revision.
+	// promised is the newest promised time from submission to completion, and promiseRevision the
+	// revision of this promise.
 	promised        time.Duration
 	promiseRevision int
-	// promisedAtFirst: the first answer had a promised date.
+	// promisedAtFirst says that the first answer had a promised date.
 	promisedAtFirst bool
-	// cancelledAt is when the first answer that says that the job is cancelled left a controller:
-	// the user may know since then, even if that answer came late or never.
+	// cancelledAt is the time when a controller sent the first answer that says that the job is
+	// cancelled. From then on the rules for cancelled jobs apply, even if that answer arrives late
+	// or never.
 	cancelledAt time.Time
-	// answeredAt is when a query was last answered. silenceReported: that queries went unanswered
-	// for too long was reported.
+	// answeredAt is the time of the last answer about the job. silenceReported says that it was
+	// reported that the job's queries were unanswered for too long.
 	answeredAt      time.Time
 	silenceReported bool
-	// placedAt is when a task was last started on a machine, and waitingSince since when one waits
-	// while there is free capacity for it. waitReported: that this was too long was reported.
+	// placedAt is the time when a machine last accepted an attempt of the job. waitingSince is the
+	// time since which a task waits while there is free capacity for it. waitReported says that it
+	// was reported that the wait was too long.
 	placedAt, waitingSince time.Time
 	waitReported           bool
 	// replicas are the replicas of a long-running job by index.
 	replicas map[int]*replica
-	// dependencies are the jobs that it depends on, and dependents those that depend on it.
+	// dependencies are the jobs that this job depends on. dependents are the jobs that depend on
+	// this job.
 	dependencies, dependents []*userJob
-	// tasksDoneAt is when the last of its tasks was done, and hooks are what waits for milestones.
+	// tasksDoneAt is the time when the last task was done. hooks are the functions to call at each
+	// milestone.
 	tasksDoneAt time.Time
 	hooks       map[milestone][]func()
-	// dependenciesAccepted: its user knew at the submission that all its dependencies were
-	// accepted.
+	// dependenciesAccepted says that the job has dependencies and that its user knew at the
+	// submission that all of them were accepted.
 	dependenciesAccepted bool
-	// invalid: its dependencies are invalid, and it must be refused for good.
+	// invalid says that the job's dependencies are invalid. The controllers must refuse the job
+	// permanently.
 	invalid bool
-	// orphanReported: that it was not cancelled with a dependency was reported.
+	// orphanReported says that it was reported that the job was not cancelled although one of its
+	// dependencies was.
 	orphanReported bool
 }
 
-// saveCheckpoint notes the run time that a task has left, unless an earlier checkpoint left less.
+// saveCheckpoint records the run time that task i has left at a checkpoint, unless the recorded
+// time is shorter.
 func (j *userJob) saveCheckpoint(i int, remaining time.Duration) {
 	if old, ok := j.checkpoints[i]; !ok || remaining < old {
 		j.checkpoints[i] = remaining
 	}
 }
 
-// newUserJob makes a job that nobody has submitted yet.
+// newUserJob returns a job that has not been submitted.
 func newUserJob(spec model.JobSpec, run time.Duration) *userJob {
 	return &userJob{spec: spec, run: run, doneTasks: map[int]bool{}, checkpoints: map[int]time.Duration{}, machines: map[int][]*Worker{}, firstStarts: map[int]time.Time{}, replicas: map[int]*replica{},
 		hooks: map[milestone][]func(){}}
 }
 
-// Submit submits a job, trying until it is accepted or refused for good, and then queries it from
-// time to time.
+// Submit submits a job, repeats the submission until the job is accepted or permanently refused,
+// and then queries an accepted job regularly.
 func (w *World) Submit(spec model.JobSpec, run time.Duration, alwaysFails bool) {
 	j := newUserJob(spec, run)
 	j.alwaysFails = alwaysFails
 	w.submitJob(j)
 }
 
-// submitJob is Submit of a job that exists already.
+// submitJob is Submit for a job that newUserJob returned.
 func (w *World) submitJob(j *userJob) {
 	j.submitted = w.now
 	w.jobs[j.spec.ID] = j
@@ -96,13 +104,13 @@
 	w.trySubmit(j)
 }
 
-// userRequest sends a request to a random controller. onReply gets the answer, or nil at the
-// deadline.
+// userRequest sends a user's request to a random controller. onReply gets the answer, or nil if
+// none arrives by the deadline. newCommand makes the command from the request number.
 func (w *World) userRequest(newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
 	w.userRequestTo(-1, newCommand, deadline, onReply)
 }
 
-// userRequestTo is userRequest to the controller with index to, unless that is -1.
+// userRequestTo is userRequest with the index of the controller; -1 means a random one.
 func (w *World) userRequestTo(to int, newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
 	requestedAt := w.now
 	fn := func(r *message.UserReply) {
@@ -137,7 +145,8 @@
 	})
 }
 
-// trySubmit is one attempt to submit a job.
+// trySubmit sends the submission of a job. It schedules another attempt if the answer is neither an
+// acceptance nor a permanent refusal.
 func (w *World) trySubmit(j *userJob) {
 	requestedAt := w.now
 	w.userRequest(func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *message.UserReply) {
@@ -162,7 +171,7 @@
 	})
 }
 
-// poll queries a job, and again some time later.
+// poll queries a job and schedules the next query.
 func (w *World) poll(j *userJob) {
 	requestedAt := w.now
 	w.userRequestTo(w.stickyController(j), func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *message.UserReply) {
@@ -170,7 +179,7 @@
 			w.checkAnswer(j, requestedAt, r)
 		}
 		w.checkPollsAnswered(j)
-		// Ended jobs are queried as well, as their state must not change any more.
+		// Jobs in a final state are queried as well, to check that the state does not change.
 		pause := w.pollInterval(5 * time.Second)
 		if j.lastState == "done" || j.lastState == "cancelled" {
 			pause = 30 * time.Second
@@ -182,7 +191,7 @@
 	})
 }
 
-// Cancel cancels a job, trying until a controller confirms it.
+// Cancel cancels a submitted job and repeats the request until a controller confirms it.
 func (w *World) Cancel(id string) {
 	j, requestedAt := w.jobs[id], w.now
 	j.cancelRequested = true
@@ -195,7 +204,8 @@
 	})
 }
 
-// QueryUnknownJob queries a job that nobody submitted.
+// QueryUnknownJob queries an id of which no job was submitted and checks that no controller knows
+// such a job.
 func (w *World) QueryUnknownJob(id string) {
 	w.userRequest(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
 		if r != nil && r.Status == http.StatusOK {
@@ -204,8 +214,8 @@
 	})
 }
 
-// checkAnswer checks an answer to a request that was sent at requestedAt against what the user
-// knows.
+// checkAnswer checks an answer about a job against what the user knows, and updates what the user
+// knows. requestedAt is the time when the user sent the request.
 func (w *World) checkAnswer(j *userJob, requestedAt time.Time, r *message.UserReply) {
 	id := j.spec.ID
 	if r.Status == http.StatusNotFound {
@@ -220,7 +230,8 @@
 	isNew := !j.accepted || isFinal(r.State) && j.lastState != r.State
 	j.accepted, j.answeredAt = true, w.now
 	if r.PromiseRevision > 0 {
-		// The answer to a cancellation may overtake one to a query.
+		// The answer to a cancellation may overtake the answer to a query, so revisions are
+		// compared only before the user cancels.
 		if r.PromiseRevision < j.promiseRevision && !j.cancelRequested || r.PromiseRevision == j.promiseRevision && r.PromisedAfter != j.promised {
 			w.violate("older_date", "%s was promised %v as revision %d, then %v as %d", id, j.promised, j.promiseRevision, r.PromisedAfter, r.PromiseRevision)
 		}
@@ -230,8 +241,8 @@
 	}
 	switch {
 	case (j.lastState == "done" || j.lastState == "cancelled") && r.State != j.lastState:
-		// A request that was sent before the user knew of the end may be answered after it by
-		// another controller: users send several requests at a time.
+		// Users send several requests at a time. Another controller may answer an older state if
+		// the request was sent before the user knew the final state.
 		if !requestedAt.Before(j.lastStateAt) {
 			w.violate("went_back", "%s was %s, is called %s", id, j.lastState, r.State)
 		}
@@ -253,7 +264,7 @@
 	j.runHooks()
 }
 
-// checkStart checks the rules for the start of a task on m.
+// checkStart checks the rules for a task that starts to run on m, and counts the start.
 func (w *World) checkStart(m *Worker, t *workerTask) {
 	w.Starts++
 	j := t.job
@@ -296,8 +307,8 @@
 	}
 }
 
-// noteCancelConfirmed notes that an answer leaves a controller, and since when one says that the
-// job is cancelled.
+// noteCancelConfirmed handles an answer that a controller sends to a user. If it is the first one
+// that says that the job is cancelled, noteCancelConfirmed sets cancelledAt.
 func (w *World) noteCancelConfirmed(r message.UserReply) {
 	j := w.jobs[r.ID]
 	if j == nil {
@@ -310,14 +321,16 @@
 	}
 }
 
-// isCancelOverdue reports whether a job's tasks must be gone by now.
+// isCancelOverdue reports whether a job has been cancelled for so long that all its tasks must have
+// ended.
 func (w *World) isCancelOverdue(j *userJob) bool {
 	since := j.cancelledSince()
 	return !since.IsZero() && w.now.Sub(since) > w.cancelWithin
 }
 
-// eachPlacedTask calls fn with the attempts on machines of the task with an index, or of all tasks
-// if the job limits the zones that they may share.
+// eachPlacedTask calls fn with the attempts of one task that take resources of machines. If the job
+// restricts the zones of its tasks relative to each other, eachPlacedTask calls fn for all tasks of
+// the job. It also forgets machines that have no attempt of the task.
 func (w *World) eachPlacedTask(j *userJob, fn func(int, *Worker, *workerTask), index int) {
 	scanTask := func(i int) {
 		j.machines[i] = slices.DeleteFunc(j.machines[i], func(m *Worker) bool {
@@ -342,7 +355,7 @@
 	}
 }
 
-// team returns a team by name, or the zero Team.
+// team returns the team with a name, or the zero Team if there is none.
 func (w *World) team(name string) model.Team {
 	for _, t := range w.settings.Teams {
 		if t.Name == name {
@@ -352,7 +365,7 @@
 	return model.Team{}
 }
 
-// checkReplySize checks that the answer to a heartbeat is not too large.
+// checkReplySize checks that the answer to a heartbeat does not exceed maxBodyBytes.
 func (w *World) checkReplySize(a message.HeartbeatReply) {
 	size := 0
 	for _, o := range a.Commands {
@@ -364,15 +377,15 @@
 }
 
 const (
-	// maxBodyBytes bounds bodies to workers, and commandBytes is what a command takes as JSON
-	// beside its job's name.
+	// maxBodyBytes is the maximum size of a body that is sent to a worker. commandBytes is the size
+	// of a command in JSON without the job's name.
 	maxBodyBytes = 64 << 10
 	commandBytes = len(`{"verb": "start", "piece": "/100000", "try": 1000, "wind_down_s": 10.0}, `)
 )
 
-// checkCancellations checks that the tasks of cancelled jobs are gone in time on all machines, also
-// on those that are unheard, hang or are unreachable until their leases end. A task whose image was
-// fetched while its machine hung counts as running.
+// checkCancellations checks on all machines that the tasks of cancelled jobs end in time. This
+// includes machines that hang, can't be reached or reach no controller, whose tasks run until the
+// worker lease expires. A task whose image was fetched while its machine hung counts as running.
 func (w *World) checkCancellations() {
 	for _, m := range w.fleet {
 		for _, t := range m.tasks {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -16,94 +16,100 @@
 	minHeartbeatInterval = 500 * time.Millisecond
 	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
-	// heartbeatRetryPause is how long a worker waits before it turns to another controller.
+	// heartbeatRetryPause is how long a worker waits after a failed heartbeat before it sends one
+	// to the next controller.
 	heartbeatRetryPause = time.Second
 )
 
-// Worker is a model of one machine with its worker.
+// Worker models one machine and the worker process on it.
 type Worker struct {
-	// ID names the machine, and Addr is where its worker is reached.
+	// ID is the machine's id, and Addr the address of its worker.
 	ID          string
 	Addr        string
 	MachineType string
 	Zone        string
 	Spot        bool
 	Size        model.Resources
-	// FetchRate is how fast it fetches images, in GB/s.
+	// FetchRate is the rate at which the machine fetches images, in GB/s.
 	FetchRate float64
 
-	// rentedAt is when it was rented, and upAt when its worker starts.
+	// rentedAt is the time of the rental, and upAt the time when the worker starts.
 	rentedAt time.Time
 	upAt     time.Time
 	dead     bool
 	diedAt   time.Time
 	released bool
-	// reclaimed: the cloud took the machine back. goneAt is when that happened or it was released.
+	// reclaimed says that the cloud took the machine back. goneAt is the time of the reclaim or
+	// release.
 	reclaimed bool
 	goneAt    time.Time
-	// everUsed: some task ran on it.
+	// everUsed says that a task ran on the machine at some time.
 	everUsed bool
-	// hungUntil: the worker hangs until then.
+	// hungUntil is the time until which the worker hangs.
 	hungUntil time.Time
-	// slowFactor is how many times longer tasks run on it; 0 means as long as usual.
+	// slowFactor is the factor by which tasks run longer on the machine; 0 means as long as usual.
 	slowFactor float64
-	// faulty: every task fails on it.
+	// faulty makes every task fail on the machine.
 	faulty bool
 	// process counts the restarts of the worker.
 	process int
-	// ignoresStarts: it sends heartbeats and takes commands, and never starts a task.
+	// ignoresStarts makes the worker ignore commands to start a task. It still sends heartbeats and
+	// executes other commands.
 	ignoresStarts bool
-	// reclaimAt is when the cloud takes it back, if it has announced that.
+	// reclaimAt is the time at which the cloud takes the machine back, or the zero time if it has
+	// announced none.
 	reclaimAt time.Time
-	// unreachableUntil: nothing reaches it until then. With holdWhileUnreachable messages are
-	// delivered afterwards, else lost.
+	// unreachableUntil is the time until which no message reaches the machine. With
+	// holdWhileUnreachable the messages are delivered afterwards, otherwise they are lost.
 	unreachableUntil     time.Time
 	holdWhileUnreachable bool
-	// unheardUntil: it reaches no controller until then.
+	// unheardUntil is the time until which the machine's heartbeats reach no controller.
 	unheardUntil time.Time
-	// recentFree is the free capacity at the last checks for waiting jobs; see resourceUse.
+	// recentFree is the free capacity at each of the last checks for waiting jobs; see resourceUse.
 	recentFree []model.Resources
 
-	// incarnation, sequence and epoch are those of its heartbeats.
+	// incarnation, sequence and epoch are the values in the worker's heartbeats.
 	incarnation uint64
 	sequence    uint64
 	epoch       uint64
-	// leaseStart is when the last heartbeat was sent whose answer renewed the lease.
+	// leaseStart is the time from which the worker lease counts: when the worker sent the last
+	// heartbeat whose answer renewed the lease.
 	leaseStart time.Time
-	// images says when each image is, or will be, fetched.
+	// images is the time at which the fetch of each image ends or ended.
 	images map[string]time.Time
-	// tasks has the attempts on it by "job/index#attempt".
+	// tasks has the attempts that the worker knows, by "job/index#attempt".
 	tasks map[string]*workerTask
 
-	// controller is the index of the controller that it sends heartbeats to.
+	// controller is the index of the controller that the worker sends heartbeats to.
 	controller       int
 	nextHeartbeatAt  time.Time
 	lastHeartbeatAt  time.Time
 	heartbeatPending bool
-	// changed: there is something new for a heartbeat, so it need not wait for the interval.
+	// changed says that the next heartbeat has news. The worker then sends it after
+	// minHeartbeatInterval instead of the usual interval.
 	changed bool
 }
 
-// workerTask is an attempt of a task on a machine.
+// workerTask is an attempt of a task, as the worker on its machine knows it.
 type workerTask struct {
 	job     *userJob
 	index   int
 	attempt uint64
 	status  model.TaskStatus
-	// cause is why it ended.
+	// cause is the reason why the attempt ended.
 	cause string
-	// checkpointed: it stored a checkpoint when it was stopped.
+	// checkpointed says that the attempt stored a checkpoint when it was stopped.
 	checkpointed bool
 	imageReadyAt time.Time
-	// remaining is the run time that is left.
+	// remaining is the run time that the attempt still needs.
 	remaining        time.Duration
 	checkpointDoneAt time.Time
-	// violationReported: that it outlived its job's cancellation was reported. Reporting it once
-	// leaves room for others in the list of violations.
+	// violationReported says that it was reported that the attempt outlived its job's cancellation.
+	// Each attempt is reported once, since the list of violations is bounded.
 	violationReported bool
 }
 
-// taskName names a task as the protocol does.
+// taskName returns the name of a task in the protocol.
 func taskName(job string, i int) string { return fmt.Sprintf("%s/%d", job, i) }
 
 // up reports whether the worker runs and does not hang.
@@ -111,12 +117,12 @@
 	return !m.dead && !m.released && !now.Before(m.upAt) && !now.Before(m.hungUntil)
 }
 
-// onMachine reports whether the task takes resources of its machine.
+// onMachine reports whether the attempt takes resources of its machine.
 func (t *workerTask) onMachine() bool {
 	return t.status == model.Running || t.status == model.Checkpointing
 }
 
-// heartbeat makes the worker's next heartbeat.
+// heartbeat returns the worker's next heartbeat and increments the sequence number.
 func (m *Worker) heartbeat(now time.Time) model.Heartbeat {
 	m.sequence++
 	r := model.Heartbeat{
@@ -133,7 +139,8 @@
 	return r
 }
 
-// executeCommands carries out commands one after another.
+// executeCommands executes task commands on a worker, in their order. A command for an unknown or
+// ended attempt has no effect where it doesn't apply.
 func (w *World) executeCommands(m *Worker, commands []model.TaskCommand) {
 	for _, o := range commands {
 		key := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
@@ -163,8 +170,8 @@
 	}
 }
 
-// startTask starts an attempt, or ends it at once if the task runs here already or the machine has
-// no free capacity for it.
+// startTask starts an attempt. The attempt ends at once if another attempt of the task is active on
+// the machine or the machine has too little free capacity.
 func (w *World) startTask(m *Worker, o model.TaskCommand, key string) {
 	j := w.jobs[o.Job]
 	if j == nil && w.jobSource != nil {
@@ -221,9 +228,10 @@
 	m.changed = true
 }
 
-// advanceMachine moves a machine's tasks on by d, and sends its heartbeat when that is due.
+// advanceMachine advances a machine's tasks by d, and sends a heartbeat if one is due.
 func (w *World) advanceMachine(m *Worker, d time.Duration) {
-	// A hanging machine goes on within its lease or not at all, so its lease ends as well.
+	// A hanging worker whose lease has expired must not resume its tasks, so the lease is checked
+	// before the worker's state.
 	if m.incarnation > 0 && w.now.Sub(m.leaseStart) > w.settings.WorkerLease {
 		w.expireWorkerLease(m)
 	}
@@ -243,7 +251,8 @@
 	}
 }
 
-// expireWorkerLease kills a worker's tasks at the end of its lease and begins a new incarnation.
+// expireWorkerLease kills all tasks of a worker whose lease has expired, drops its images and
+// begins a new incarnation.
 func (w *World) expireWorkerLease(m *Worker) {
 	for _, t := range m.tasks {
 		if t.onMachine() {
@@ -256,7 +265,7 @@
 	m.leaseStart, m.changed = w.now, true
 }
 
-// advanceTask moves a task on by d.
+// advanceTask advances a task by d.
 func (w *World) advanceTask(m *Worker, t *workerTask, d time.Duration) {
 	switch t.status {
 	case model.Fetching:
@@ -273,7 +282,7 @@
 		}
 		t.remaining -= d
 		if interval := t.job.spec.CheckpointInterval; interval > 0 && t.remaining > 0 {
-			// What is left counts from the last whole checkpoint.
+			// A later attempt resumes from the last complete checkpoint.
 			steps := (t.job.run - t.remaining) / interval
 			t.job.saveCheckpoint(t.index, t.job.run-steps*interval)
 		}
@@ -292,8 +301,8 @@
 	}
 }
 
-// sendHeartbeat sends a worker's heartbeat to the controller that it knows, and takes the answer.
-// Without an answer in time the worker turns to the next controller.
+// sendHeartbeat sends a worker's heartbeat to its controller and handles the answer. If no answer
+// arrives within heartbeatTimeout, the worker sends its next heartbeat to the next controller.
 func (w *World) sendHeartbeat(m *Worker) {
 	sent, incarnation, to, process := w.now, m.incarnation, m.controller, m.process
 	answered := false
@@ -305,7 +314,7 @@
 		}
 	})
 	if w.now.Before(m.unheardUntil) {
-		// It opens no connection, so nothing can arrive.
+		// The worker can't open a connection, so not even a late copy of the heartbeat arrives.
 		return
 	}
 	p := w.controllers[to]
@@ -319,7 +328,7 @@
 		p.deliverHeartbeat(r, func(e message.Effect) {
 			a := e.(message.HeartbeatReply)
 			w.sendMessage(p.name, m.ID, func() {
-				// An answer that comes after the timeout is dropped.
+				// An answer after the timeout is dropped.
 				if !answered {
 					answered = true
 					w.takeHeartbeatReply(m, a, to, incarnation, sent)
@@ -329,21 +338,21 @@
 	})
 }
 
-// deliverHeartbeat hands a heartbeat to a controller; fn takes the answer.
+// deliverHeartbeat passes a heartbeat to the controller and its answer to fn.
 func (p *controllerProcess) deliverHeartbeat(r model.Heartbeat, fn func(message.Effect)) {
 	p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, fn)
 }
 
-// tryNextController makes a worker send its next heartbeat to the controller after one that did
-// not take it.
+// tryNextController makes a worker send its next heartbeat to the controller that follows the
+// failed one, after heartbeatRetryPause.
 func (w *World) tryNextController(m *Worker, failed int) {
 	m.heartbeatPending = false
 	m.controller = (failed + 1) % len(w.controllers)
 	m.nextHeartbeatAt = w.now.Add(heartbeatRetryPause)
 }
 
-// takeHeartbeatReply acts on the answer of controller to. incarnation is the worker's when it sent
-// the heartbeat, at sent.
+// takeHeartbeatReply handles the answer of controller to. incarnation is the worker's incarnation
+// at sent, when the worker sent the heartbeat.
 func (w *World) takeHeartbeatReply(m *Worker, a message.HeartbeatReply, to int, incarnation uint64, sent time.Time) {
 	owner := -1
 	if a.MachineOwner != "" {
@@ -370,7 +379,7 @@
 	}
 }
 
-// executeDirect carries out a request to the worker's own address.
+// executeDirect executes a request that a controller sent directly to a worker.
 func (w *World) executeDirect(m *Worker, op message.WorkerRequest) message.WorkerResponse {
 	d := message.WorkerResponse{ID: op.ID, OK: true}
 	if !op.StatusOnly {
@@ -388,8 +397,8 @@
 	return d
 }
 
-// sortedKeys returns the keys of a map in order, for loops whose order must not change from run to
-// run.
+// sortedKeys returns the keys of a map in ascending order, for loops whose order must be the same
+// in every run.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
