--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -14,125 +14,139 @@
 	"golang.org/x/time/rate"
 )
 
-// tickInterval is the step in which workers, leases and checks advance.
+// tickInterval is the virtual time between two updates of the workers and leases, each followed by
+// the checks.
 const tickInterval = 100 * time.Millisecond
 
-// World is a simulation in virtual time of controllers, the state service, the cloud, workers and
-// users, with faults. Everything in it runs on the goroutine that calls Run. The same seed gives
-// the same run.
+// World simulates controllers, the state service, the cloud, workers and users in virtual time,
+// with faults. All its code runs on the goroutine that calls Run. Two worlds with the same seed and
+// the same calls behave the same.
 type World struct {
 	// now is the virtual time.
 	now       time.Time
 	startedAt time.Time
 	rng       *rand.Rand
-	// settings are the controllers' settings, before each gets its own name and peers.
+	// settings are the settings that all controllers share. Each controller gets its own name and
+	// peers in addition.
 	settings controller.Settings
-	// cancelWithin is how soon the tasks of a cancelled job must be gone.
+	// cancelWithin is the time within which the tasks of a cancelled job must have ended.
 	cancelWithin time.Duration
-	// events are the scheduled functions. Those of the same time run in the order of seq.
+	// events are the scheduled functions. Events of the same time run in the order of their
+	// sequence numbers; seq is the last number given.
 	events events
 	seq    uint64
 
 	controllers []*controllerProcess
 	state       *StateService
-	// machines are all machines that ever were, by id.
+	// machines are all machines ever rented, by id.
 	machines map[string]*Worker
-	// fleet has the machines that are not gone for good, in the order of creation.
+	// fleet has the machines that are neither released nor reclaimed, in the order of creation.
 	fleet []*Worker
-	// teamUsage is what each team's running tasks take.
+	// teamUsage is the resources that each team's running tasks take.
 	teamUsage    map[string]model.Resources
 	cloudLimiter *rate.Limiter
 	machineTypes map[string]model.MachineType
-	// cloudCapacity is how many machines are left to rent, by capacityKey.
+	// cloudCapacity is the number of machines that can still be rented, by capacityKey.
 	cloudCapacity map[string]int
-	// rentals has the machines of each rental by its idempotency key.
+	// rentals has the ids of each rental's machines, by idempotency key.
 	rentals map[string][]string
 	jobs    map[string]*userJob
 
-	// partitions has the broken links by "a|b", and oneWayPartitions counts those that are broken
-	// in one direction by "a>b"; see links.go.
+	// partitions has the links that are broken in both directions, by "a|b". oneWayPartitions
+	// counts the partitions that drop messages from a to b, by "a>b". See links.go.
 	partitions       map[string]*partition
 	oneWayPartitions map[string]int
 	stateOutage      bool
 	cloudOutage      bool
-	// lossRate is how often a message is lost or delayed for long.
+	// lossRate is the probability that a message is lost or delayed by randomDelay.
 	lossRate float64
-	// duplicateRate is how often a transaction, a heartbeat or a command is carried out once more,
-	// up to minutes later. Neither answer to a duplicated command arrives: a client that got one
-	// would not send again.
+	// duplicateRate is the probability that a transaction, a heartbeat or a command is carried out
+	// a second time, up to maxRandomDelay later. The sender of a duplicated command gets no answer
+	// to either copy, because a client that got an answer would not send the command again.
 	duplicateRate float64
-	// Violations lists broken rules, at most maxViolations.
+	// Violations lists the rule violations that were found, at most maxViolations.
 	Violations []string
-	// Starts counts starts of tasks, and StartsAfterCancel those after an answer left a controller
-	// that says that the job is cancelled.
+	// Starts counts task starts. StartsAfterCancel counts task starts after a controller sent an
+	// answer that says that the job is cancelled.
 	Starts, StartsAfterCancel int
-	// heartbeatCopyRate is the part of the heartbeats that arrive once more, up to
-	// heartbeatCopyMaxDelay later, until heartbeatCopiesUntil.
+	// heartbeatCopyRate is the fraction of the heartbeats that arrive a second time, up to
+	// heartbeatCopyMaxDelay later. The fault lasts until heartbeatCopiesUntil.
 	heartbeatCopyRate     float64
 	heartbeatCopyMaxDelay time.Duration
 	heartbeatCopiesUntil  time.Time
-	// stateSlowUntil: until then the state service is stateSlowFactor times slower.
+	// stateSlowUntil is the time until which messages from and to the state service take
+	// stateSlowFactor times as long.
 	stateSlowUntil  time.Time
 	stateSlowFactor float64
-	// lateWriteRate is the part of the transactions that get no answer and are carried out late,
-	// until lateWritesUntil.
+	// lateWriteRate is the fraction of the transactions that get no answer and are carried out
+	// late. The fault lasts until lateWritesUntil.
 	lateWriteRate   float64
 	lateWritesUntil time.Time
-	// stateOutageUntil is when the last outage of the state service that has begun is over.
+	// stateOutageUntil is the latest end of the outages of the state service that have begun.
 	stateOutageUntil time.Time
-	// stickyUsers: some users keep to one controller once all faults are over.
+	// stickyUsers makes some users send all queries to one controller once all faults are over.
 	stickyUsers bool
 	// RefusedRequests counts users' requests that were answered 503.
 	RefusedRequests int
-	// LostToLease counts tasks that workers killed at the end of their lease.
+	// LostToLease counts tasks that workers killed because their worker lease expired.
 	LostToLease int
-	// CloudCalls counts requests to the cloud: those that were done, and those refused for the
-	// rate.
+	// CloudCalls counts requests to the cloud: those that were executed, and those that were
+	// refused because of the rate limit.
 	CloudCalls struct{ Done, RefusedRequests int }
-	// lastID is the last number in the id of a job or machine.
+	// lastID is the number in the id of the job or machine that was created last.
 	lastID int
-	// machineIDs has the ids of all machines that ever were, in the order of creation.
+	// machineIDs has the ids of all machines ever rented, in the order of creation, which is also
+	// their lexical order.
 	machineIDs []string
-	// stepTime is the real time that the controllers' steps took, for benchmarks.
+	// stepTime is the real time that the controllers' steps took in total. Benchmarks read it.
 	stepTime time.Duration
 	// logs are the controllers' log lines.
 	logs []string
-	// corruptEffect breaks an invariant on purpose, to show that a check notices.
+	// corruptEffect, if not nil, replaces each effect before it is sent; an effect that it replaces
+	// with nil is dropped. Tests use it to break an invariant and to show that a check reports the
+	// violation.
 	corruptEffect func(message.Effect) message.Effect
-	// leaseOverride, if not 0, is a wrong worker lease that the controllers are configured with.
+	// leaseOverride, if not 0, is the worker lease in the controllers' settings, which then differs
+	// from the lease of the workers.
 	leaseOverride time.Duration
 	// heartbeatSender sends a worker's heartbeat. onRented is called with each new machine, and
-	// onGone with each that is gone for good.
+	// onGone with each machine that was released or reclaimed.
 	heartbeatSender func(*Worker)
 	onRented        func(*Worker)
 	onGone          func(*Worker)
 	// jobSource, if not nil, is where workers fetch the specification of a job that is not in jobs.
 	jobSource func(id string) (model.JobSpec, time.Duration, bool)
-	// pauseCondition picks the effect before which a process is paused for pauseDuration.
+	// pauseCondition, if not nil, reports whether a process is paused for pauseDuration before it
+	// sends an effect. It applies once.
 	pauseCondition func(*controllerProcess, message.Effect) bool
 	pauseDuration  time.Duration
-	// crashCondition picks the effect at which a process crashes.
+	// crashCondition, if not nil, crashes the process and returns true if the process is to crash
+	// at an effect. It applies once.
 	crashCondition func(*controllerProcess, message.Effect) bool
-	// disturbances is set on days with unlisted or overlapping faults.
+	// disturbances has the state of the unlisted faults. It is nil on days without unlisted or
+	// overlapping faults.
 	disturbances *disturbances
 	extraFaultState
-	// margins is the least time that was left to each timed rule.
+	// margins has the smallest margin that was seen for each timed rule.
 	margins map[string]Margin
-	// nextWaitCheck is when waiting jobs are checked next.
+	// nextWaitCheck is the time of the next check for jobs that wait beside free capacity.
 	nextWaitCheck time.Time
-	// rankingCheck checks the order of work if it is not nil. adjustSettings changes the settings
-	// of a controller at its start.
+	// rankingCheck, if not nil, checks the order in which controllers act. adjustSettings, if not
+	// nil, changes the settings of a controller with the given index at its start.
 	rankingCheck   *rankingChecker
 	adjustSettings func(i int, set *controller.Settings)
-	// onAnswer is called with every answer that reaches a user, and when he sent the request.
+	// onAnswer, if not nil, is called with every answer that reaches a user and the time when the
+	// user sent the request.
 	onAnswer func(requestedAt time.Time, r message.UserReply)
-	// faultsEndAt, if set, is when the last fault is over.
+	// faultsEndAt is the end of the last fault, or the zero time if there is none.
 	faultsEndAt time.Time
-	// trace has words, separated by "|"; debug lines that contain one are logged as well.
+	// trace is a list of words separated by "|". Debug lines that contain one of the words are
+	// added to logs.
 	trace string
 }
 
-// maxViolations bounds the list of violations; the first ones tell enough.
+// maxViolations bounds the number of recorded violations, since later ones are often consequences
+// of the first.
 const maxViolations = 20
 
 // event is a scheduled function.
@@ -142,19 +156,24 @@
 	run func()
 }
 
-// events is a heap of events.
+// events is a heap of events, ordered by time and then by sequence number.
 type events []event
 
+// Len returns the number of events.
 func (e events) Len() int { return len(e) }
 
+// Less reports whether event a runs before event b.
 func (e events) Less(a, b int) bool {
 	return e[a].at.Before(e[b].at) || e[a].at.Equal(e[b].at) && e[a].seq < e[b].seq
 }
 
+// Swap swaps two events.
 func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
 
+// Push appends an event; only package heap calls it.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
+// Pop removes the last event and returns it; only package heap calls it.
 func (e *events) Pop() any {
 	o := *e
 	x := o[len(o)-1]
@@ -162,9 +181,9 @@
 	return x
 }
 
-// NewWorld makes a world in which controllers many controllers start at once. cancel is how soon
-// the tasks of a cancelled job must be gone, and capacity how many machines there are by
-// capacityKey, such as box/a/true.
+// NewWorld returns a world and starts the given number of controllers in it. cancel is the time
+// within which the tasks of a cancelled job must have ended. capacity is the number of machines
+// that the cloud has, by capacityKey, such as box/a/true. The world keeps and changes capacity.
 func NewWorld(seed uint64, controllers int, settings controller.Settings, cancel time.Duration, types []model.MachineType, capacity map[string]int) *World {
 	w := &World{
 		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancel,
@@ -173,7 +192,7 @@
 		teamUsage: map[string]model.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
 	}
 	if settings.CloudRequestsPerSecond > 0 {
-		// The cloud takes bursts of two seconds' worth.
+		// The cloud accepts bursts of two seconds' worth of requests.
 		w.cloudLimiter = rate.NewLimiter(rate.Limit(settings.CloudRequestsPerSecond), max(1, int(2*settings.CloudRequestsPerSecond)))
 	}
 	w.startedAt = w.now
@@ -192,18 +211,18 @@
 	return w
 }
 
-// schedule calls fn after delay.
+// schedule makes Run call fn after delay.
 func (w *World) schedule(delay time.Duration, fn func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now.Add(delay), w.seq, fn})
 }
 
-// jitter draws a duration from 75% to 125% of d.
+// jitter draws a duration between 75% and 125% of d.
 func (w *World) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + w.rng.Float64()/2))
 }
 
-// Run advances the virtual time by d.
+// Run advances the virtual time by d and runs the events that are due meanwhile.
 func (w *World) Run(d time.Duration) {
 	end := w.now.Add(d)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
@@ -214,7 +233,7 @@
 	w.now = end
 }
 
-// violate records a broken rule.
+// violate records a violation of a rule, unless maxViolations are recorded already.
 func (w *World) violate(rule, format string, args ...any) {
 	if len(w.Violations) >= maxViolations {
 		return
@@ -222,7 +241,8 @@
 	w.Violations = append(w.Violations, fmt.Sprintf("%s at %.1fs: %s", rule, w.now.Sub(w.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// onTick advances what goes on without events, and checks the rules.
+// onTick updates leases and machines, and checks the rules that depend on the passing of time. It
+// runs every tickInterval.
 func (w *World) onTick() {
 	if !w.stateOutage {
 		w.state.Expire(w.now)
@@ -234,7 +254,8 @@
 	w.schedule(tickInterval, w.onTick)
 }
 
-// advanceMachines moves all machines on by step, and drops those that are gone for good.
+// advanceMachines advances all machines by step, and removes machines that were released or
+// reclaimed from the fleet.
 func (w *World) advanceMachines(step time.Duration) {
 	keep := w.fleet[:0]
 	for _, m := range w.fleet {
@@ -252,20 +273,22 @@
 	w.fleet = keep
 }
 
-// controllerIndex returns the index of a controller by name, or -1.
+// controllerIndex returns the index of the controller with a name, or -1 if there is none.
 func (w *World) controllerIndex(name string) int {
 	return slices.IndexFunc(w.controllers, func(p *controllerProcess) bool { return p.name == name })
 }
 
-// sendMessage delivers a message from one end to another, subject to the links: late, lost or held.
-// fn runs at the receiver.
+// sendMessage delivers a message by calling fn after a random delay. Depending on the faults of the
+// link and the receiver, the message is late, lost or held until the fault ends. A machine is named
+// by its id, a controller by its name; the other ends are state, cloud and user.
 func (w *World) sendMessage(from, to string, fn func()) {
 	process := 0
 	if m := w.machines[to]; m != nil {
 		process = m.process
 	}
 	deliver := func() {
-		// A hanging machine takes it when it goes on.
+		// A hanging machine receives the message when it resumes, unless its worker was restarted
+		// meanwhile.
 		if m := w.machines[to]; m != nil {
 			switch {
 			case m.dead || m.released || m.process != process:
@@ -309,10 +332,10 @@
 	w.schedule(d, deliver)
 }
 
-// randomDelay draws how late a message is that was held up somewhere.
+// randomDelay draws the delay of a message that the network delivers very late.
 func (w *World) randomDelay() time.Duration { return time.Duration(5+w.rng.IntN(100)) * time.Second }
 
-// maxRandomDelay bounds randomDelay.
+// maxRandomDelay is the upper bound of randomDelay.
 const maxRandomDelay = 105 * time.Second
 
 // clearTasks removes all tasks from a machine.
@@ -323,7 +346,7 @@
 	clear(m.tasks)
 }
 
-// releaseTask gives back what a task takes, if anything.
+// releaseTask subtracts the resources of a task from its team's usage if the task takes any.
 func (w *World) releaseTask(t *workerTask) {
 	if t.onMachine() {
 		team := t.job.spec.Team
@@ -332,7 +355,8 @@
 	}
 }
 
-// Outage makes the state service unavailable for d. Afterwards every lease has its full time again.
+// Outage makes the state service unavailable for d. At the end of the outage every lease is renewed
+// to its full TTL. Outages may overlap.
 func (w *World) Outage(d time.Duration) {
 	w.stateOutage = true
 	if until := w.now.Add(d); until.After(w.stateOutageUntil) {
@@ -346,7 +370,7 @@
 	})
 }
 
-// runningTasks counts a job's tasks on machines.
+// runningTasks returns the number of a job's attempts that take resources of living machines.
 func (w *World) runningTasks(id string) int {
 	k := 0
 	for _, m := range w.machines {
@@ -359,7 +383,7 @@
 	return k
 }
 
-// randomFault begins a random fault, often while another lasts.
+// randomFault begins a fault that is drawn from rng. Earlier faults may still be active.
 func (w *World) randomFault(rng *rand.Rand) {
 	dur := time.Duration(5+rng.IntN(35)) * time.Second
 	p := w.controllers[rng.IntN(len(w.controllers))]
@@ -414,7 +438,7 @@
 	}
 }
 
-// containsAny reports whether s contains one of the words, which are separated by "|".
+// containsAny reports whether s contains one of words, a list separated by "|".
 func containsAny(s, words string) bool {
 	for _, w := range strings.Split(words, "|") {
 		if strings.Contains(s, w) {
--- a/internal/testgolden/testgolden.go
+++ b/internal/testgolden/testgolden.go
@@ -1,10 +1,11 @@
-// Package testgolden pins the bytes of what is stored and sent, so that renaming a type or a field
-// can't change them: a test encodes values, compares them with the files in testdata/golden, and
-// decodes those files. Only tests import it. After an intended change of an encoding
+// Package testgolden compares encoded values with golden files, so that renaming a type or a field
+// can't change the bytes that are stored or sent. A test encodes values, compares the bytes with the
+// files in testdata/golden, and decodes those files. Only tests import this package.
 //
-//	go test ./internal/record -run Golden -update
+// After an intended change of an encoding, the following command rewrites the golden files of a
+// package. Records that earlier versions stored must stay readable.
 //
-// rewrites the files of a package; what earlier versions have stored must stay readable.
+//	go test ./internal/record -run Golden -update
 package testgolden
 
 import (
@@ -29,28 +30,30 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
+// update is the flag that makes Same rewrite the golden files.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// lineBytes is how many bytes a line of a golden file has.
+// lineBytes is the number of bytes that a line of a golden file encodes.
 const lineBytes = 32
 
-// Values are the values to encode, by the names of their golden files.
+// Values has the values to encode, by the names of their golden files.
 type Values map[string]any
 
-// Codec is an encoding.
+// Codec encodes and decodes values.
 type Codec struct {
 	// Write encodes a value, and Read decodes one into a pointer.
 	Write func(v any) ([]byte, error)
 	Read  func(b []byte, into any) error
-	// Strict says that Read rejects zero values, so that Check leaves them out.
+	// Strict means that Read rejects zero values, so Check does not check them.
 	Strict bool
 }
 
-// Msgpack is the encoding of the protocols with workers and the state service.
+// Msgpack is the codec of the protocols with workers and the state service.
 var Msgpack = Codec{Write: msgpack.Marshal, Read: msgpack.Unmarshal}
 
-// Check tests that each value, and the zero value of its type, is encoded as its golden bytes,
-// decoded from them, and encoded again as they are.
+// Check checks for each value, and for the zero value of its type, that it is encoded as its golden
+// bytes, that the golden bytes are decoded as the value, and that the decoded value is encoded as
+// the golden bytes again.
 func Check(t *testing.T, c Codec, vs Values) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(vs)) {
@@ -61,6 +64,7 @@
 	}
 }
 
+// check is Check for one value.
 func check(t *testing.T, c Codec, name string, v any) {
 	t.Helper()
 	b, err := c.Write(v)
@@ -87,9 +91,11 @@
 	Still(t, name, again)
 }
 
+// file returns the path of the golden file with a name.
 func file(name string) string { return filepath.Join("testdata", "golden", name+".hex") }
 
-// Same compares bytes with the golden ones, which it rewrites before with -update.
+// Same checks that b equals the golden bytes of a name. With -update it first rewrites the golden
+// file.
 func Same(t *testing.T, name string, b []byte) {
 	t.Helper()
 	if *update {
@@ -107,8 +113,8 @@
 	Still(t, name, b)
 }
 
-// Still compares bytes with the golden ones and never rewrites those: for what was decoded from
-// them and encoded again.
+// Still checks that b equals the golden bytes of a name and never rewrites the golden file. It is
+// meant for values that were decoded from the golden bytes and encoded again.
 func Still(t *testing.T, name string, b []byte) {
 	t.Helper()
 	if golden := Bytes(t, name); !bytes.Equal(b, golden) {
@@ -116,7 +122,7 @@
 	}
 }
 
-// Bytes are the golden bytes of a name.
+// Bytes returns the golden bytes of a name.
 func Bytes(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(file(name))
@@ -130,9 +136,9 @@
 	return b
 }
 
-// Full tests that the values leave nothing unpinned. It fails for a field that none of them sets,
-// for two fields of one type that are equal in a value, as one could be taken for the other,
-// and for a type of the package with MessagePack tags of which there is no value.
+// Full checks that the values cover all encoded types and fields. It fails for a field that no
+// value sets, for two fields of the same type that are equal in a value, since confusing them would
+// not be noticed, and for a type of the package with MessagePack tags of which there is no value.
 func Full(t *testing.T, vs Values) {
 	t.Helper()
 	w := walker{t, map[reflect.Type][]bool{}}
@@ -155,12 +161,14 @@
 	}
 }
 
-// walker notes which fields the values set, by type and index.
+// walker records which fields the values set. set is indexed by struct type and field index.
 type walker struct {
 	t   *testing.T
 	set map[reflect.Type][]bool
 }
 
+// walk records the fields that v and the values in it set. at is the path of v for failure
+// messages.
 func (w *walker) walk(at string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
@@ -180,6 +188,8 @@
 	}
 }
 
+// fields records the fields that the struct v sets, and fails for equal values in fields of the
+// same type.
 func (w *walker) fields(at string, v reflect.Value) {
 	w.t.Helper()
 	typ := v.Type()
@@ -204,11 +214,13 @@
 	}
 }
 
-// yesNo are types with too few values for each field to have its own.
+// yesNo reports whether a type has too few values for each field to have a distinct one.
 func yesNo(t reflect.Type) bool {
 	return t.Kind() == reflect.Bool || t.Kind() == reflect.Pointer && t.Elem().Kind() == reflect.Bool
 }
 
+// empty reports whether a field counts as not set: a zero value, or a slice or map without
+// elements.
 func empty(v reflect.Value) bool {
 	if v.Kind() == reflect.Slice || v.Kind() == reflect.Map {
 		return v.Len() == 0
@@ -216,7 +228,8 @@
 	return v.IsZero()
 }
 
-// tagged are the types of the package under test that have MessagePack tags.
+// tagged returns the names of the types with MessagePack tags in the package under test, as
+// package.Type.
 func tagged(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
@@ -246,7 +259,8 @@
 	return out
 }
 
-// FullProto tests that every field of a protobuf file's messages is set in one of the messages.
+// FullProto checks that every field of the messages of a protobuf file is set in at least one of
+// ms.
 func FullProto(t *testing.T, file protoreflect.FileDescriptor, ms ...proto.Message) {
 	t.Helper()
 	set := map[protoreflect.FullName]bool{}
@@ -263,6 +277,7 @@
 	}
 }
 
+// setFields adds the full names of the fields that a message and its submessages set.
 func setFields(m protoreflect.Message, set map[protoreflect.FullName]bool) {
 	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		set[f.FullName()] = true
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,7 +1,8 @@
-// Package testseed makes all property tests draw the same values in each run, so that the same
-// sources get the same result. A package whose tests use rapid imports it for that effect
-// alone. RAPID_SEED in the environment or the flag -rapid.seed chooses other draws (0: new ones
-// in each run), and RAPID_CHECKS how many there are. A long search is
+// Package testseed makes all property tests draw the same values in every run, so that the same
+// sources give the same result. Every package whose tests use rapid imports it for this side effect.
+// RAPID_SEED in the environment or the flag -rapid.seed sets another seed, where 0 means a new seed
+// in every run. RAPID_CHECKS sets the number of checks. For example, this command makes a long
+// search:
 //
 //	RAPID_SEED=0 RAPID_CHECKS=100000 go test ./internal/migration
 package testseed
@@ -10,13 +11,14 @@
 	"flag"
 	"os"
 
-	// Its flags must be defined before init sets one.
+	// rapid must define its flags before init sets one of them.
 	_ "pgregory.net/rapid"
 )
 
-// seed may be any number but 0, which means a new one in each run.
+// seed is the seed of rapid. It can be any number except 0, which means a new seed in every run.
 const seed = "1"
 
+// init sets the seed unless RAPID_SEED is set in the environment.
 func init() {
 	if _, named := os.LookupEnv("RAPID_SEED"); named {
 		return
--- a/internal/testseed/testseed_test.go
+++ b/internal/testseed/testseed_test.go
@@ -10,6 +10,7 @@
 )
 
 // TestPropertyTestsAreSeeded checks that every package whose tests use rapid imports testseed.
+// Otherwise its property tests would draw other values in each run and fail at random.
 func TestPropertyTestsAreSeeded(t *testing.T) {
 	uses, seeded := map[string]bool{}, map[string]bool{}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
