--- a/internal/search/search.go
+++ b/internal/search/search.go
@@ -95,20 +95,20 @@
 }
 
 // nextCase generates a case, or mutates one of the kept cases.
-func nextCase[C any](rng *rand.Rand, p Problem[C], focusRule string, nearest map[string][]Candidate[C]) C {
+func nextCase[C any](rng *rand.Rand, problem Problem[C], focusRule string, nearest map[string][]Candidate[C]) C {
 	if len(nearest) == 0 || rng.Float64() < freshFraction {
-		return p.Generate(rng)
+		return problem.Generate(rng)
 	}
 	pool := nearest[focusRule]
 	if len(pool) == 0 || rng.IntN(2) == 0 {
 		rules := slices.Sorted(maps.Keys(nearest))
 		pool = nearest[rules[rng.IntN(len(rules))]]
 	}
-	return p.Mutate(rng, pool[rng.IntN(len(pool))].Case)
+	return problem.Mutate(rng, pool[rng.IntN(len(pool))].Case)
 }
 
 // evaluateAll evaluates cases in parallel and returns their margins in the order of cases.
-func evaluateAll[C any](p Problem[C], cases []C, parallel int) []map[string]float64 {
+func evaluateAll[C any](problem Problem[C], cases []C, parallel int) []map[string]float64 {
 	out := make([]map[string]float64, len(cases))
 	slots := make(chan struct{}, max(1, parallel))
 	var wg sync.WaitGroup
@@ -116,7 +116,7 @@
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			out[i] = p.Evaluate(cases[i])
+			out[i] = problem.Evaluate(cases[i])
 		})
 	}
 	wg.Wait()
@@ -125,8 +125,8 @@
 
 // insertNearest adds a candidate to the kept cases of a rule, and drops the one with the largest
 // margin beyond maxKept. Of equal margins the earlier candidate is kept.
-func insertNearest[C any](nearest []Candidate[C], c Candidate[C]) []Candidate[C] {
-	nearest = append(nearest, c)
+func insertNearest[C any](nearest []Candidate[C], candidate Candidate[C]) []Candidate[C] {
+	nearest = append(nearest, candidate)
 	slices.SortStableFunc(nearest, func(a, b Candidate[C]) int { return cmp.Compare(a.Margin, b.Margin) })
 	return nearest[:min(maxKept, len(nearest))]
 }
--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -58,10 +58,10 @@
 // number of generated cases.
 func TestBeatsRandomSampling(t *testing.T) {
 	var evaluated atomic.Int64
-	p := plantedProblem(&evaluated)
-	searched := Run(p, Options{Seed: 9, Runs: 400, FocusRule: "near"})
-	p.Mutate = func(rng *rand.Rand, _ [2]float64) [2]float64 { return p.Generate(rng) }
-	sampled := Run(p, Options{Seed: 9, Runs: 400, FocusRule: "near"})
+	problem := plantedProblem(&evaluated)
+	searched := Run(problem, Options{Seed: 9, Runs: 400, FocusRule: "near"})
+	problem.Mutate = func(rng *rand.Rand, _ [2]float64) [2]float64 { return problem.Generate(rng) }
+	sampled := Run(problem, Options{Seed: 9, Runs: 400, FocusRule: "near"})
 	if got, random := searched.Nearest["near"][0].Margin, sampled.Nearest["near"][0].Margin; got >= random {
 		t.Errorf("got margin %v by mutations, want less than %v by random sampling", got, random)
 	}
@@ -70,13 +70,13 @@
 // TestEndsAtTimeLimit checks that a search ends at its time limit before all runs are made.
 func TestEndsAtTimeLimit(t *testing.T) {
 	var evaluated atomic.Int64
-	p := plantedProblem(&evaluated)
-	evaluate := p.Evaluate
-	p.Evaluate = func(c [2]float64) map[string]float64 {
+	problem := plantedProblem(&evaluated)
+	evaluate := problem.Evaluate
+	problem.Evaluate = func(c [2]float64) map[string]float64 {
 		time.Sleep(time.Millisecond)
 		return evaluate(c)
 	}
-	if r := Run(p, Options{Seed: 1, Runs: 1 << 20, TimeLimit: 50 * time.Millisecond, Parallel: 4}); r.Runs >= 1<<20 || r.Runs == 0 {
+	if r := Run(problem, Options{Seed: 1, Runs: 1 << 20, TimeLimit: 50 * time.Millisecond, Parallel: 4}); r.Runs >= 1<<20 || r.Runs == 0 {
 		t.Errorf("got %d runs in 50 ms, want some, fewer than %d", r.Runs, 1<<20)
 	}
 }
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -35,42 +35,42 @@
 )
 
 // lastFaultEnd returns the latest end of the day's faults, counted from the day's begin.
-func (d *Day) lastFaultEnd() time.Duration {
+func (day *Day) lastFaultEnd() time.Duration {
 	end := time.Duration(0)
-	for _, f := range d.Faults {
-		end = max(end, f.endsAt(d.Controllers))
+	for _, fault := range day.Faults {
+		end = max(end, fault.endsAt(day.Controllers))
 	}
 	return end
 }
 
 // checkPollsAnswered checks that a job's queries are not unanswered for longer than MaxUnanswered
 // once all faults are over. It reports a job at most once.
-func (w *World) checkPollsAnswered(j *userJob) {
-	if w.faultsEndAt.IsZero() || !j.accepted || j.silenceReported {
+func (world *World) checkPollsAnswered(job *userJob) {
+	if world.faultsEndAt.IsZero() || !job.accepted || job.silenceReported {
 		return
 	}
-	since := w.faultsEndAt
-	if j.answeredAt.After(since) {
-		since = j.answeredAt
+	since := world.faultsEndAt
+	if job.answeredAt.After(since) {
+		since = job.answeredAt
 	}
-	d := w.now.Sub(since)
-	w.recordMargin(RuleForgotten, MaxUnanswered-d, j.spec.ID)
-	if d > MaxUnanswered {
-		j.silenceReported = true
-		w.violate("forgotten", "%s, %q: no answer for %.0f s", j.spec.ID, j.lastState, d.Seconds())
+	duration := world.now.Sub(since)
+	world.recordMargin(RuleForgotten, MaxUnanswered-duration, job.spec.ID)
+	if duration > MaxUnanswered {
+		job.silenceReported = true
+		world.violate("forgotten", "%s, %q: no answer for %.0f s", job.spec.ID, job.lastState, duration.Seconds())
 	}
 }
 
 // extendedDeadline returns the end of a period that begins at from and has the given duration,
 // extended by the times in it during which faults leave no capacity.
-func (d *Day) extendedDeadline(from, duration time.Duration) time.Duration {
+func (day *Day) extendedDeadline(from, duration time.Duration) time.Duration {
 	end := from + duration
-	for range d.Faults {
+	for range day.Faults {
 		extended, covered := from+duration, from
-		for _, f := range d.Faults { // sorted by their begin
-			a, b := max(f.noCapacityFrom(), covered), min(f.noCapacityUntil(d.Controllers), end)
-			if b > a {
-				extended, covered = extended+b-a, b
+		for _, fault := range day.Faults { // sorted by their begin
+			gapStart, gapEnd := max(fault.noCapacityFrom(), covered), min(fault.noCapacityUntil(day.Controllers), end)
+			if gapEnd > gapStart {
+				extended, covered = extended+gapEnd-gapStart, gapEnd
 			}
 		}
 		if extended == end {
@@ -83,27 +83,27 @@
 
 // maxConcurrent returns how many tasks of a job can run at a time within the team's quota limit and
 // the cloud's capacity.
-func (d *Day) maxConcurrent(s *model.JobSpec) int {
-	types, capacity := d.cloudInventory()
+func (day *Day) maxConcurrent(spec *model.JobSpec) int {
+	types, capacity := day.cloudInventory()
 	fit := 0
-	for _, t := range types {
-		for _, z := range t.Zones {
-			if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, t.Name) || s.Zone != "" && s.Zone != z {
+	for _, machineType := range types {
+		for _, z := range machineType.Zones {
+			if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machineType.Name) || spec.Zone != "" && spec.Zone != z {
 				continue
 			}
-			machines := capacity[t.Name+"/"+z+"/false"]
-			if s.AllowSpot {
-				machines += capacity[t.Name+"/"+z+"/true"]
+			machines := capacity[machineType.Name+"/"+z+"/false"]
+			if spec.AllowSpot {
+				machines += capacity[machineType.Name+"/"+z+"/true"]
 			}
-			fit += machines * t.Capacity.FitCount(s.Need)
+			fit += machines * machineType.Capacity.FitCount(spec.Need)
 		}
 	}
-	for _, t := range d.Settings.Teams {
-		if t.Name == s.Team && t.QuotaLimit.CPU > 0 {
-			fit = min(fit, t.QuotaLimit.FitCount(model.Resources{CPU: s.Need.CPU}))
+	for _, team := range day.Settings.Teams {
+		if team.Name == spec.Team && team.QuotaLimit.CPU > 0 {
+			fit = min(fit, team.QuotaLimit.FitCount(model.Resources{CPU: spec.Need.CPU}))
 		}
 	}
-	return min(fit, s.Tasks)
+	return min(fit, spec.Tasks)
 }
 
 // LargestJobs is the outcome of a class's largest jobs. Two groups are evaluated, the largest tenth
@@ -123,22 +123,24 @@
 
 // isCounted reports whether a job counts in the outcome of a day: it is not cancelled, can succeed
 // and was not refused.
-func (j *userJob) isCounted() bool { return !j.isCancelled() && !j.alwaysFails && j.refusedStatus == 0 }
+func (job *userJob) isCounted() bool {
+	return !job.isCancelled() && !job.alwaysFails && job.refusedStatus == 0
+}
 
 // isServed reports whether a job was served: the user knows that it is done, or all replicas of a
 // long-running job have started.
-func (j *userJob) isServed() bool {
-	if j.spec.LongRunning {
-		return j.completedCount() == j.spec.Tasks
+func (job *userJob) isServed() bool {
+	if job.spec.LongRunning {
+		return job.completedCount() == job.spec.Tasks
 	}
-	return j.lastState == "done"
+	return job.lastState == "done"
 }
 
 // hasUnfinishedJobs reports whether the outcome of a counted job can still change: the job is
 // long-running or not served yet.
-func (w *World) hasUnfinishedJobs() bool {
-	for _, j := range w.jobs {
-		if j.isCounted() && (j.spec.LongRunning || !j.isServed()) {
+func (world *World) hasUnfinishedJobs() bool {
+	for _, job := range world.jobs {
+		if job.isCounted() && (job.spec.LongRunning || !job.isServed()) {
 			return true
 		}
 	}
@@ -147,33 +149,33 @@
 
 // completedCount returns the number of tasks that are done or, for a long-running job, of replicas
 // that have started.
-func (j *userJob) completedCount() int {
-	if j.spec.LongRunning {
-		return len(j.firstStarts)
+func (job *userJob) completedCount() int {
+	if job.spec.LongRunning {
+		return len(job.firstStarts)
 	}
-	return len(j.doneTasks)
+	return len(job.doneTasks)
 }
 
 // largestJobs returns the largest tenth of the counted jobs of each class, first by number of
 // tasks, second by resource-seconds.
-func (w *World) largestJobs() map[string][2][]*userJob {
-	by := map[string][]*userJob{}
-	for _, id := range sortedKeys(w.jobs) {
-		if j := w.jobs[id]; j.isCounted() {
-			by[j.spec.Workload] = append(by[j.spec.Workload], j)
+func (world *World) largestJobs() map[string][2][]*userJob {
+	byClass := map[string][]*userJob{}
+	for _, id := range sortedKeys(world.jobs) {
+		if job := world.jobs[id]; job.isCounted() {
+			byClass[job.spec.Workload] = append(byClass[job.spec.Workload], job)
 		}
 	}
 	out := map[string][2][]*userJob{}
-	for class, jobs := range by {
+	for class, jobs := range byClass {
 		top := func(size func(*userJob) float64) []*userJob {
-			js := slices.Clone(jobs)
-			slices.SortStableFunc(js, func(a, b *userJob) int { return cmp.Compare(size(b), size(a)) })
-			return js[:max(1, len(js)/10)]
+			sorted := slices.Clone(jobs)
+			slices.SortStableFunc(sorted, func(a, b *userJob) int { return cmp.Compare(size(b), size(a)) })
+			return sorted[:max(1, len(sorted)/10)]
 		}
-		tasks := func(j *userJob) float64 { return float64(j.spec.Tasks) }
-		work := func(j *userJob) float64 {
+		tasks := func(job *userJob) float64 { return float64(job.spec.Tasks) }
+		work := func(job *userJob) float64 {
 			// A GPU counts as 8 CPUs, about the CPUs of a machine per GPU.
-			return tasks(j) * (j.spec.Need.CPU + 8*j.spec.Need.GPU) * max(1, j.run.Seconds())
+			return tasks(job) * (job.spec.Need.CPU + 8*job.spec.Need.GPU) * max(1, job.run.Seconds())
 		}
 		out[class] = [2][]*userJob{top(tasks), top(work)}
 	}
@@ -182,91 +184,91 @@
 
 // couldBeServed reports whether a job could have completed by now under ideal conditions: since it
 // became eligible it had the whole cloud to itself, without provisioning, image fetches and faults.
-func (d *Day) couldBeServed(w *World, j *userJob) bool {
-	all := d.maxConcurrent(&j.spec)
-	return all > 0 && j.dependenciesDone() && j.run*time.Duration((j.spec.Tasks+all-1)/all) <= w.now.Sub(j.eligibleSince())
+func (day *Day) couldBeServed(world *World, job *userJob) bool {
+	all := day.maxConcurrent(&job.spec)
+	return all > 0 && job.dependenciesDone() && job.run*time.Duration((job.spec.Tasks+all-1)/all) <= world.now.Sub(job.eligibleSince())
 }
 
 // largestServedFraction returns the fraction of a class's largest jobs that were served, of those
 // that could be served; of the two groups, the smaller fraction.
-func (d *Day) largestServedFraction(w *World, tops [2][]*userJob) float64 {
+func (day *Day) largestServedFraction(world *World, tops [2][]*userJob) float64 {
 	least := 1.0
-	for _, js := range tops {
-		n, of := 0, 0
-		for _, j := range js {
-			if j.isServed() {
-				n++
+	for _, jobs := range tops {
+		served, eligible := 0, 0
+		for _, job := range jobs {
+			if job.isServed() {
+				served++
 			}
-			if j.isServed() || d.couldBeServed(w, j) {
-				of++
+			if job.isServed() || day.couldBeServed(world, job) {
+				eligible++
 			}
 		}
-		if of > 0 {
-			least = min(least, float64(n)/float64(of))
+		if eligible > 0 {
+			least = min(least, float64(served)/float64(eligible))
 		}
 	}
 	return least
 }
 
-// recordLargestStarts records in l how long a class's largest jobs waited for their starts, and
-// their margins for RuleBegin. It is called at the end of a day.
-func (d *Day) recordLargestStarts(w *World, l *LargestJobs, largest [2][]*userJob) {
+// recordLargestStarts records in outcome how long a class's largest jobs waited for their starts,
+// and their margins for RuleBegin. It is called at the end of a day.
+func (day *Day) recordLargestStarts(world *World, outcome *LargestJobs, largest [2][]*userJob) {
 	seen := map[*userJob]bool{}
-	for _, j := range append(slices.Clone(largest[0]), largest[1]...) {
-		all := d.maxConcurrent(&j.spec)
-		if seen[j] || all == 0 || !j.dependenciesDone() {
+	for _, job := range append(slices.Clone(largest[0]), largest[1]...) {
+		all := day.maxConcurrent(&job.spec)
+		if seen[job] || all == 0 || !job.dependenciesDone() {
 			continue
 		}
-		seen[j] = true
+		seen[job] = true
 		waits := []time.Duration{}
-		for _, at := range j.firstStarts {
-			waits = append(waits, at.Sub(j.eligibleSince()))
+		for _, at := range job.firstStarts {
+			waits = append(waits, at.Sub(job.eligibleSince()))
 		}
 		slices.Sort(waits)
-		at := j.eligibleSince().Sub(w.startedAt)
-		deadline := d.extendedDeadline(at, maxStartWait) - at
+		at := job.eligibleSince().Sub(world.startedAt)
+		deadline := day.extendedDeadline(at, maxStartWait) - at
 		late := false
 		describeWait := func(n int, worst *float64) string {
 			if len(waits) < n {
 				*worst, late = -1, true
-				w.recordMargin(RuleBegin, deadline-w.now.Sub(j.eligibleSince()), j.spec.ID)
+				world.recordMargin(RuleBegin, deadline-world.now.Sub(job.eligibleSince()), job.spec.ID)
 				return "never"
 			}
 			wait := waits[n-1]
 			if *worst >= 0 {
 				*worst = max(*worst, wait.Seconds())
 			}
-			w.recordMargin(RuleBegin, deadline-wait, j.spec.ID)
+			world.recordMargin(RuleBegin, deadline-wait, job.spec.ID)
 			late = late || wait > deadline
 			return fmt.Sprintf("after %.0f s", wait.Seconds())
 		}
-		first, whole := describeWait(1, &l.FirstStartS), describeWait(all, &l.AllStartedS)
+		first, whole := describeWait(1, &outcome.FirstStartS), describeWait(all, &outcome.AllStartedS)
 		if late {
-			l.Late = append(l.Late, fmt.Sprintf("%s of %s at %.0f s (%d tasks of %g CPUs) within %.0f s: first %s, all %d %s, %d began",
-				j.spec.ID, j.spec.Team, at.Seconds(), j.spec.Tasks, j.spec.Need.CPU, deadline.Seconds(), first, all, whole, len(waits)))
+			outcome.Late = append(outcome.Late, fmt.Sprintf("%s of %s at %.0f s (%d tasks of %g CPUs) within %.0f s: first %s, all %d %s, %d began",
+				job.spec.ID, job.spec.Team, at.Seconds(), job.spec.Tasks, job.spec.Need.CPU, deadline.Seconds(), first, all, whole, len(waits)))
 		}
 	}
 }
 
 // checkAtEnd runs the checks that need the end of a day, and adds violations, logs and margins to
 // the result.
-func (d *Day) checkAtEnd(w *World, r *DayResult) {
-	for _, id := range sortedKeys(w.jobs) {
-		w.checkPollsAnswered(w.jobs[id])
+func (day *Day) checkAtEnd(world *World, result *DayResult) {
+	for _, id := range sortedKeys(world.jobs) {
+		world.checkPollsAnswered(world.jobs[id])
 	}
-	w.checkDependencyOutcomes()
-	tops := w.largestJobs()
-	for i := range r.Classes {
-		if t, ok := tops[r.Classes[i].Name]; ok {
-			d.recordLargestStarts(w, r.Classes[i].Largest, t)
+	world.checkDependencyOutcomes()
+	tops := world.largestJobs()
+	for i := range result.Classes {
+		if t, ok := tops[result.Classes[i].Name]; ok {
+			day.recordLargestStarts(world, result.Classes[i].Largest, t)
 		}
 	}
-	r.Violations = append(slices.Clone(w.Violations), r.Violations...)
-	r.Log, r.Margins = w.logs, w.margins
+	result.Violations = append(slices.Clone(world.Violations), result.Violations...)
+	result.Log, result.Margins = world.logs, world.margins
 }
 
 // Worst returns the worst value of each figure of LargestJobs over all classes.
-func (r *DayResult) Worst() LargestJobs {
+func (result *DayResult) Worst() LargestJobs {
 	out := LargestJobs{ServedFraction: 1}
 	longer := func(a, b float64) float64 {
 		if min(a, b) < 0 {
@@ -274,10 +276,10 @@
 		}
 		return math.Max(a, b)
 	}
-	for _, g := range r.Classes {
-		if l := g.Largest; l != nil {
-			out.ServedFraction, out.FirstStartS, out.AllStartedS = min(out.ServedFraction, l.ServedFraction), longer(out.FirstStartS, l.FirstStartS), longer(out.AllStartedS, l.AllStartedS)
-			out.Late = append(out.Late, l.Late...)
+	for _, group := range result.Classes {
+		if outcome := group.Largest; outcome != nil {
+			out.ServedFraction, out.FirstStartS, out.AllStartedS = min(out.ServedFraction, outcome.ServedFraction), longer(out.FirstStartS, outcome.FirstStartS), longer(out.AllStartedS, outcome.AllStartedS)
+			out.Late = append(out.Late, outcome.Late...)
 		}
 	}
 	return out
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -28,27 +28,27 @@
 
 // executeCloud executes a request to the cloud. It refuses the request during an outage of the
 // cloud and if the request exceeds the rate limit.
-func (w *World) executeCloud(req message.CloudRequest) message.CloudResponse {
+func (world *World) executeCloud(req message.CloudRequest) message.CloudResponse {
 	response := message.CloudResponse{ID: req.ID, Status: message.CloudOK}
-	if w.cloudOutage || !w.cloudLimiter.AllowN(w.now, 1) {
-		if !w.cloudOutage {
-			w.CloudCalls.RefusedRequests++
+	if world.cloudOutage || !world.cloudLimiter.AllowN(world.now, 1) {
+		if !world.cloudOutage {
+			world.CloudCalls.RefusedRequests++
 		}
 		response.Status = message.CloudRefused
 		return response
 	}
-	w.CloudCalls.Done++
+	world.CloudCalls.Done++
 	switch req.Kind {
 	case message.CloudListTypes:
-		for _, k := range sortedKeys(w.machineTypes) {
-			response.MachineTypes = append(response.MachineTypes, w.machineTypes[k])
+		for _, k := range sortedKeys(world.machineTypes) {
+			response.MachineTypes = append(response.MachineTypes, world.machineTypes[k])
 		}
 	case message.CloudListMachines:
-		response.Machines, response.Truncated = w.listCloudMachines(req.StartAfter)
+		response.Machines, response.Truncated = world.listCloudMachines(req.StartAfter)
 	case message.CloudRent:
-		response.Rented, response.Status = w.rentMachines(req)
+		response.Rented, response.Status = world.rentMachines(req)
 	case message.CloudRelease:
-		response.Status = w.releaseMachines(req.Machines)
+		response.Status = world.releaseMachines(req.Machines)
 	}
 	return response
 }
@@ -56,21 +56,21 @@
 // listCloudMachines returns the first page of the rented machines whose ids are greater than
 // startAfter, and whether there are more. The list shows the state of an earlier time; the lag is
 // drawn in each call.
-func (w *World) listCloudMachines(startAfter string) (machines []model.CloudMachine, truncated bool) {
-	asOf := w.now.Add(-time.Duration(float64(w.settings.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
-	for _, id := range w.machineIDs[sort.SearchStrings(w.machineIDs, startAfter):] {
-		m := w.machines[id]
-		if id <= startAfter || m.rentedAt.After(asOf) || !m.goneAt.IsZero() && !m.goneAt.After(asOf) {
+func (world *World) listCloudMachines(startAfter string) (machines []model.CloudMachine, truncated bool) {
+	asOf := world.now.Add(-time.Duration(float64(world.settings.CloudListLag) * (0.5 + 1.5*world.rng.Float64())))
+	for _, id := range world.machineIDs[sort.SearchStrings(world.machineIDs, startAfter):] {
+		machine := world.machines[id]
+		if id <= startAfter || machine.rentedAt.After(asOf) || !machine.goneAt.IsZero() && !machine.goneAt.After(asOf) {
 			continue
 		}
 		if len(machines) == cloudListPage {
 			return machines, true
 		}
-		listed := model.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: asOf.Sub(m.rentedAt)}
+		listed := model.CloudMachine{ID: id, Addr: machine.Addr, MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot, Status: "running", Age: asOf.Sub(machine.rentedAt)}
 		switch {
-		case m.dead && !m.reclaimed && asOf.Sub(m.diedAt) > failedListLag:
+		case machine.dead && !machine.reclaimed && asOf.Sub(machine.diedAt) > failedListLag:
 			listed.Status = "failed"
-		case asOf.Before(m.upAt):
+		case asOf.Before(machine.upAt):
 			listed.Status = "booting"
 		}
 		machines = append(machines, listed)
@@ -81,58 +81,58 @@
 // rentMachines rents as many machines as are available, up to the count of the request, and returns
 // their ids. A request with the idempotency key of an earlier rental gets the machines of that
 // rental.
-func (w *World) rentMachines(req message.CloudRequest) ([]string, message.CloudStatus) {
+func (world *World) rentMachines(req message.CloudRequest) ([]string, message.CloudStatus) {
 	if req.Count < 1 || req.Count > maxRentCount || req.IdempotencyKey == "" {
-		w.violate("malformed", "a booking of %d machines", req.Count)
+		world.violate("malformed", "a booking of %d machines", req.Count)
 		return nil, message.CloudMalformed
 	}
-	if rented, ok := w.rentals[req.IdempotencyKey]; ok {
+	if rented, ok := world.rentals[req.IdempotencyKey]; ok {
 		return rented, message.CloudOK
 	}
 	key := capacityKey(req.MachineType, req.Zone, req.Spot)
 	var rented []string
-	for range min(req.Count, w.cloudCapacity[key]) {
-		rented = append(rented, w.rentMachine(req).ID)
+	for range min(req.Count, world.cloudCapacity[key]) {
+		rented = append(rented, world.rentMachine(req).ID)
 	}
-	w.cloudCapacity[key] -= len(rented)
+	world.cloudCapacity[key] -= len(rented)
 	if len(rented) == 0 {
 		return nil, message.CloudNoCapacity
 	}
-	w.rentals[req.IdempotencyKey] = rented
+	world.rentals[req.IdempotencyKey] = rented
 	return rented, message.CloudOK
 }
 
 // rentMachine creates one machine of a rental.
-func (w *World) rentMachine(req message.CloudRequest) *Worker {
-	w.lastID++
-	t := w.machineTypes[req.MachineType]
-	id := fmt.Sprintf("vm-%06d", w.lastID)
-	m := &Worker{
-		ID: id, Addr: id, MachineType: req.MachineType, Zone: req.Zone, Spot: req.Spot, Size: t.Capacity,
-		FetchRate: t.ImageFetchRate, rentedAt: w.now, upAt: w.now.Add(w.provisioningTime(t)),
-		images: map[string]time.Time{}, tasks: map[string]*workerTask{}, controller: w.rng.IntN(max(1, len(w.controllers))),
+func (world *World) rentMachine(req message.CloudRequest) *Worker {
+	world.lastID++
+	machineType := world.machineTypes[req.MachineType]
+	id := fmt.Sprintf("vm-%06d", world.lastID)
+	machine := &Worker{
+		ID: id, Addr: id, MachineType: req.MachineType, Zone: req.Zone, Spot: req.Spot, Size: machineType.Capacity,
+		FetchRate: machineType.ImageFetchRate, rentedAt: world.now, upAt: world.now.Add(world.provisioningTime(machineType)),
+		images: map[string]time.Time{}, tasks: map[string]*workerTask{}, controller: world.rng.IntN(max(1, len(world.controllers))),
 	}
-	w.machines[m.ID] = m
-	w.machineIDs, w.fleet = append(w.machineIDs, m.ID), append(w.fleet, m)
-	w.onRented(m)
-	return m
+	world.machines[machine.ID] = machine
+	world.machineIDs, world.fleet = append(world.machineIDs, machine.ID), append(world.fleet, machine)
+	world.onRented(machine)
+	return machine
 }
 
 // releaseMachines returns machines to the cloud and ends all tasks on them. It ignores unknown and
 // released machines.
-func (w *World) releaseMachines(ids []string) message.CloudStatus {
+func (world *World) releaseMachines(ids []string) message.CloudStatus {
 	if len(ids) > maxReleaseCount {
-		w.violate("malformed", "a return of %d machines", len(ids))
+		world.violate("malformed", "a return of %d machines", len(ids))
 		return message.CloudMalformed
 	}
 	for _, id := range ids {
-		if m := w.machines[id]; m != nil && !m.released {
-			m.released = true
-			if m.goneAt.IsZero() {
-				m.goneAt = w.now
+		if machine := world.machines[id]; machine != nil && !machine.released {
+			machine.released = true
+			if machine.goneAt.IsZero() {
+				machine.goneAt = world.now
 			}
-			w.clearTasks(m)
-			w.cloudCapacity[capacityKey(m.MachineType, m.Zone, m.Spot)]++
+			world.clearTasks(machine)
+			world.cloudCapacity[capacityKey(machine.MachineType, machine.Zone, machine.Spot)]++
 		}
 	}
 	return message.CloudOK
@@ -140,15 +140,15 @@
 
 // killMachine ends a machine and all tasks on it. A machine whose reclaim time has come counts as
 // reclaimed by the cloud.
-func (w *World) killMachine(m *Worker) {
-	if m.dead || m.released {
+func (world *World) killMachine(machine *Worker) {
+	if machine.dead || machine.released {
 		return
 	}
-	if !m.reclaimAt.IsZero() && !w.now.Before(m.reclaimAt) {
+	if !machine.reclaimAt.IsZero() && !world.now.Before(machine.reclaimAt) {
 		// The cloud does not list a machine that it reclaimed.
-		m.goneAt = w.now
+		machine.goneAt = world.now
 	}
-	m.dead, m.diedAt = true, w.now
-	m.reclaimAt = time.Time{}
-	w.clearTasks(m)
+	machine.dead, machine.diedAt = true, world.now
+	machine.reclaimAt = time.Time{}
+	world.clearTasks(machine)
 }
--- a/internal/simulation/controller_process.go
+++ b/internal/simulation/controller_process.go
@@ -58,183 +58,189 @@
 }
 
 // localTime returns the time of the controller's clock.
-func (p *controllerProcess) localTime() time.Time { return p.world.now.Add(p.clockSkew) }
+func (process *controllerProcess) localTime() time.Time {
+	return process.world.now.Add(process.clockSkew)
+}
 
 // checkLeader checks that only the leader rents and releases machines. Requests to the cloud carry
 // no compares, so the cloud can't refuse requests of a deposed leader.
-func (p *controllerProcess) checkLeader(e message.CloudRequest) {
-	if e.Kind != message.CloudRent && e.Kind != message.CloudRelease {
+func (process *controllerProcess) checkLeader(request message.CloudRequest) {
+	if request.Kind != message.CloudRent && request.Kind != message.CloudRelease {
 		return
 	}
-	if lead := p.world.leaderName(); lead != "" && lead != p.name {
-		p.world.violate("deposed", "%s asks the cloud for %v while %s leads", p.name, e.Kind, lead)
+	if leader := process.world.leaderName(); leader != "" && leader != process.name {
+		process.world.violate("deposed", "%s asks the cloud for %v while %s leads", process.name, request.Kind, leader)
 	}
 }
 
 // start starts the process with a new controller, which has no state from before.
-func (p *controllerProcess) start() {
-	p.incarnation++
-	p.alive = true
-	settings := p.world.settings
-	settings.Host, settings.Incarnation = p.name, fmt.Sprintf("%s.%d", p.name, p.incarnation)
+func (process *controllerProcess) start() {
+	process.incarnation++
+	process.alive = true
+	settings := process.world.settings
+	settings.Host, settings.Incarnation = process.name, fmt.Sprintf("%s.%d", process.name, process.incarnation)
 	settings.Peers = nil
-	settings.CancellationBound = p.world.cancelWithin
-	if p.world.leaseOverride > 0 {
-		settings.WorkerLease = p.world.leaseOverride
+	settings.CancellationBound = process.world.cancelWithin
+	if process.world.leaseOverride > 0 {
+		settings.WorkerLease = process.world.leaseOverride
 	}
-	for _, o := range p.world.controllers {
-		if o != p {
-			settings.Peers = append(settings.Peers, o.name)
+	for _, other := range process.world.controllers {
+		if other != process {
+			settings.Peers = append(settings.Peers, other.name)
 		}
 	}
-	if p.world.adjustSettings != nil {
-		p.world.adjustSettings(p.index, &settings)
+	if process.world.adjustSettings != nil {
+		process.world.adjustSettings(process.index, &settings)
 	}
 	// Until the controller sets its rates, each controller has an equal part of the limits.
-	controllerCount := float64(len(p.world.controllers))
-	p.limiter = state.NewRateLimiter(p.world.now, message.Rates{Requests: settings.StoreRequestsPerSecond / controllerCount, Writes: settings.StoreWritesPerSecond / controllerCount})
-	p.controller = controller.New(settings, rand.New(rand.NewPCG(uint64(p.index)+7, uint64(p.incarnation))))
-	p.queue, p.stepScheduled, p.wakeAt = nil, false, time.Time{}
-	p.pausedUntil, p.heldEffects = time.Time{}, nil
-	p.replies = map[uint64]func(message.Effect){}
-	p.scheduleStep()
+	controllerCount := float64(len(process.world.controllers))
+	process.limiter = state.NewRateLimiter(process.world.now, message.Rates{Requests: settings.StoreRequestsPerSecond / controllerCount, Writes: settings.StoreWritesPerSecond / controllerCount})
+	process.controller = controller.New(settings, rand.New(rand.NewPCG(uint64(process.index)+7, uint64(process.incarnation))))
+	process.queue, process.stepScheduled, process.wakeAt = nil, false, time.Time{}
+	process.pausedUntil, process.heldEffects = time.Time{}, nil
+	process.replies = map[uint64]func(message.Effect){}
+	process.scheduleStep()
 }
 
-// CrashController crashes the process of controller i and starts it again after d.
-func (w *World) CrashController(i int, d time.Duration) {
-	p := w.controllers[i]
-	p.alive = false
-	p.incarnation++
-	w.schedule(d, func() {
-		if !p.alive {
-			p.start()
+// CrashController crashes the process of controller i and starts it again after restartAfter.
+func (world *World) CrashController(i int, restartAfter time.Duration) {
+	process := world.controllers[i]
+	process.alive = false
+	process.incarnation++
+	world.schedule(restartAfter, func() {
+		if !process.alive {
+			process.start()
 		}
 	})
 }
 
 // request queues a command that expects an answer and passes the answer to fn. newCommand makes the
 // command from the request number. A process that is down drops the command.
-func (p *controllerProcess) request(newCommand func(uint64) message.Command, fn func(message.Effect)) {
-	if !p.alive {
+func (process *controllerProcess) request(newCommand func(uint64) message.Command, fn func(message.Effect)) {
+	if !process.alive {
 		return
 	}
-	p.next++
-	p.replies[p.next] = fn
-	p.enqueue(newCommand(p.next))
+	process.next++
+	process.replies[process.next] = fn
+	process.enqueue(newCommand(process.next))
 }
 
 // enqueue queues a command for the next step.
-func (p *controllerProcess) enqueue(c message.Command) {
-	p.queue = append(p.queue, c)
-	p.scheduleStep()
+func (process *controllerProcess) enqueue(command message.Command) {
+	process.queue = append(process.queue, command)
+	process.scheduleStep()
 }
 
 // scheduleStep schedules a step unless one is scheduled already. A paused process runs the step
 // when it resumes.
-func (p *controllerProcess) scheduleStep() {
-	if p.stepScheduled {
+func (process *controllerProcess) scheduleStep() {
+	if process.stepScheduled {
 		return
 	}
-	p.stepScheduled = true
-	incarnation := p.incarnation
-	p.world.schedule(max(time.Millisecond, p.pausedUntil.Sub(p.world.now)), func() {
-		if p.incarnation != incarnation {
+	process.stepScheduled = true
+	incarnation := process.incarnation
+	process.world.schedule(max(time.Millisecond, process.pausedUntil.Sub(process.world.now)), func() {
+		if process.incarnation != incarnation {
 			return
 		}
-		p.stepScheduled = false
-		p.step()
+		process.stepScheduled = false
+		process.step()
 	})
 }
 
-// Pause pauses the process of controller i for d. The clock of the process runs on.
-func (w *World) Pause(i int, d time.Duration) {
-	p := w.controllers[i]
-	p.pausedUntil = w.now.Add(d)
-	w.resumeWhenDue(p)
+// Pause pauses the process of controller i for the given duration. The clock of the process runs
+// on.
+func (world *World) Pause(i int, duration time.Duration) {
+	process := world.controllers[i]
+	process.pausedUntil = world.now.Add(duration)
+	world.resumeWhenDue(process)
 }
 
-// PauseBefore pauses, for d, the first selected process that is about to send a matching effect.
-// The process sends the effect, which it decided on before the pause, only when it resumes.
-func (w *World) PauseBefore(d time.Duration, matches func(message.Effect) bool, selects func(*controllerProcess) bool) {
-	w.pauseDuration = d
-	w.pauseCondition = func(p *controllerProcess, e message.Effect) bool { return selects(p) && matches(e) }
+// PauseBefore pauses, for the given duration, the first selected process that is about to send a
+// matching effect. The process sends the effect, which it decided on before the pause, only when it
+// resumes.
+func (world *World) PauseBefore(duration time.Duration, matches func(message.Effect) bool, selects func(*controllerProcess) bool) {
+	world.pauseDuration = duration
+	world.pauseCondition = func(process *controllerProcess, effect message.Effect) bool {
+		return selects(process) && matches(effect)
+	}
 }
 
 // resumeWhenDue schedules the end of a pause, at which the process sends its held effects.
-func (w *World) resumeWhenDue(p *controllerProcess) {
-	incarnation := p.incarnation
-	w.schedule(p.pausedUntil.Sub(w.now), func() {
-		if p.incarnation != incarnation {
+func (world *World) resumeWhenDue(process *controllerProcess) {
+	incarnation := process.incarnation
+	world.schedule(process.pausedUntil.Sub(world.now), func() {
+		if process.incarnation != incarnation {
 			return
 		}
-		held := p.heldEffects
-		p.heldEffects = nil
-		for _, e := range held {
-			p.send(e)
+		held := process.heldEffects
+		process.heldEffects = nil
+		for _, effect := range held {
+			process.send(effect)
 		}
-		p.scheduleStep()
+		process.scheduleStep()
 	})
 }
 
 // send executes an effect. If the deadline of the effect has passed, send executes or queues what
 // controller.CheckDeadline returns instead.
-func (p *controllerProcess) send(e message.Effect) {
-	if back, instead, late := controller.CheckDeadline(e, p.localTime()); late {
+func (process *controllerProcess) send(effect message.Effect) {
+	if back, instead, late := controller.CheckDeadline(effect, process.localTime()); late {
 		if back != nil {
-			p.enqueue(back)
+			process.enqueue(back)
 		} else {
-			p.execute(instead)
+			process.execute(instead)
 		}
 		return
 	}
-	p.execute(e)
+	process.execute(effect)
 }
 
 // step passes the queued commands to the controller, sends the controller's effects and schedules
 // the next step.
-func (p *controllerProcess) step() {
-	if p.world.now.Before(p.pausedUntil) {
-		p.scheduleStep()
+func (process *controllerProcess) step() {
+	if process.world.now.Before(process.pausedUntil) {
+		process.scheduleStep()
 		return
 	}
-	commands := p.queue
-	p.queue = nil
+	commands := process.queue
+	process.queue = nil
 	began := time.Now()
-	effects := p.controller.Step(p.localTime(), commands)
-	p.world.stepTime += time.Since(began)
-	p.delayForCompute(len(commands), len(effects))
-	for _, e := range effects {
-		p.world.rankingCheck.onDecision(p, e)
-		if p.world.corruptEffect != nil {
-			if e = p.world.corruptEffect(e); e == nil {
+	effects := process.controller.Step(process.localTime(), commands)
+	process.world.stepTime += time.Since(began)
+	process.delayForCompute(len(commands), len(effects))
+	for _, effect := range effects {
+		process.world.rankingCheck.onDecision(process, effect)
+		if process.world.corruptEffect != nil {
+			if effect = process.world.corruptEffect(effect); effect == nil {
 				continue
 			}
 		}
-		if p.world.crashesOn(p, e) {
+		if process.world.crashesOn(process, effect) {
 			return
 		}
-		if p.world.pauseCondition != nil && p.world.pauseCondition(p, e) {
-			p.world.pauseCondition = nil
-			p.pausedUntil = p.world.now.Add(p.world.pauseDuration)
-			p.world.resumeWhenDue(p)
+		if process.world.pauseCondition != nil && process.world.pauseCondition(process, effect) {
+			process.world.pauseCondition = nil
+			process.pausedUntil = process.world.now.Add(process.world.pauseDuration)
+			process.world.resumeWhenDue(process)
 		}
-		if p.world.now.Before(p.pausedUntil) {
-			p.heldEffects = append(p.heldEffects, e)
+		if process.world.now.Before(process.pausedUntil) {
+			process.heldEffects = append(process.heldEffects, effect)
 			continue
 		}
-		p.send(e)
+		process.send(effect)
 	}
-	d := p.controller.Deadline()
-	if d.IsZero() || p.stepScheduled {
+	deadline := process.controller.Deadline()
+	if deadline.IsZero() || process.stepScheduled {
 		return
 	}
-	d = d.Add(-p.clockSkew)
-	if p.wakeAt.IsZero() || d.Before(p.wakeAt) || !p.wakeAt.After(p.world.now) {
-		p.wakeAt = d
-		incarnation := p.incarnation
-		p.world.schedule(max(d.Sub(p.world.now), time.Millisecond), func() {
-			if p.incarnation == incarnation && !p.stepScheduled {
-				p.step()
+	deadline = deadline.Add(-process.clockSkew)
+	if process.wakeAt.IsZero() || deadline.Before(process.wakeAt) || !process.wakeAt.After(process.world.now) {
+		process.wakeAt = deadline
+		incarnation := process.incarnation
+		process.world.schedule(max(deadline.Sub(process.world.now), time.Millisecond), func() {
+			if process.incarnation == incarnation && !process.stepScheduled {
+				process.step()
 			}
 		})
 	}
@@ -243,72 +249,72 @@
 // call sends a request with a deadline; exec executes it at the receiver. If no answer arrives by
 // the deadline, the controller gets fail instead. With mayRepeat the duplicate fault may execute
 // the request twice.
-func (p *controllerProcess) call(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command) {
-	p.callWithLimit(to, mayRepeat, deadline, exec, fail, nil)
+func (process *controllerProcess) call(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command) {
+	process.callWithLimit(to, mayRepeat, deadline, exec, fail, nil)
 }
 
 // callState is call for the state service. If the state service answers that a rate limit is
 // exceeded, onRateLimited is called and the controller does not get the answer.
-func (p *controllerProcess) callState(mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
-	p.callWithLimit("state", mayRepeat, deadline, exec, fail, onRateLimited)
+func (process *controllerProcess) callState(mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
+	process.callWithLimit("state", mayRepeat, deadline, exec, fail, onRateLimited)
 }
 
 // callWithLimit is call with onRateLimited as in callState. onRateLimited may be nil if the
 // receiver is not the state service.
-func (p *controllerProcess) callWithLimit(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
-	w, incarnation := p.world, p.incarnation
+func (process *controllerProcess) callWithLimit(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
+	world, incarnation := process.world, process.incarnation
 	finished := false
-	finish := func(c message.Command) {
-		if finished || p.incarnation != incarnation {
+	finish := func(command message.Command) {
+		if finished || process.incarnation != incarnation {
 			return
 		}
 		finished = true
-		if d, ok := c.(message.StoreResponse); ok && d.Status == StoreRateLimited {
+		if response, ok := command.(message.StoreResponse); ok && response.Status == StoreRateLimited {
 			onRateLimited()
 			return
 		}
-		p.enqueue(c)
+		process.enqueue(command)
 	}
-	answer := func(c message.Command) { w.sendMessage(to, p.name, func() { finish(c) }) }
-	if mayRepeat && w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
+	answer := func(command message.Command) { world.sendMessage(to, process.name, func() { finish(command) }) }
+	if mayRepeat && world.duplicateRate > 0 && world.rng.Float64() < world.duplicateRate {
 		discard := func(message.Command) {}
-		w.schedule(w.randomDelay(), func() { w.sendMessage(p.name, to, func() { exec(discard) }) })
+		world.schedule(world.randomDelay(), func() { world.sendMessage(process.name, to, func() { exec(discard) }) })
 		if to != "state" {
 			answer = discard
 		}
 	}
-	w.sendMessage(p.name, to, func() { exec(answer) })
-	w.schedule(deadline, func() { finish(fail) })
+	world.sendMessage(process.name, to, func() { exec(answer) })
+	world.schedule(deadline, func() { finish(fail) })
 }
 
 // sendStoreRequest sends a request to the state service. While the state service answers that a
 // rate limit is exceeded, sendStoreRequest sends the request again until the given time, as the
 // real client does.
-func (p *controllerProcess) sendStoreRequest(e message.StoreRequest, until time.Time) {
-	w, incarnation := p.world, p.incarnation
-	sent := p.localTime()
+func (process *controllerProcess) sendStoreRequest(request message.StoreRequest, until time.Time) {
+	world, incarnation := process.world, process.incarnation
+	sent := process.localTime()
 	done := func(answer func(message.Command)) func(message.StoreResponse) {
-		return func(d message.StoreResponse) {
-			d.SentAt = sent
-			w.rankingCheck.noteRanking()
-			answer(d)
+		return func(response message.StoreResponse) {
+			response.SentAt = sent
+			world.rankingCheck.noteRanking()
+			answer(response)
 		}
 	}
 	exec := func(answer func(message.Command)) {
 		switch {
-		case e.Kind == message.OpWatch && e.WatchTimeout > 0:
-			p.openWatch(e, until, done(answer))
-		case w.stateOutage || p.stateRefused:
-			answer(message.StoreResponse{ID: e.ID, Status: message.StoreRefused, SentAt: sent})
+		case request.Kind == message.OpWatch && request.WatchTimeout > 0:
+			process.openWatch(request, until, done(answer))
+		case world.stateOutage || process.stateRefused:
+			answer(message.StoreResponse{ID: request.ID, Status: message.StoreRefused, SentAt: sent})
 		default:
-			w.state.Do(w.now, e, done(answer))
+			world.state.Do(world.now, request, done(answer))
 		}
 	}
-	p.callState(e.Kind == message.OpTxn, until.Sub(w.now), func(answer func(message.Command)) {
-		if d, ok := w.delayWrite(e); ok {
-			wasValid := !w.state.malformed(&e)
-			w.schedule(d, func() {
-				if wasValid && w.state.malformed(&e) {
+	process.callState(request.Kind == message.OpTxn, until.Sub(world.now), func(answer func(message.Command)) {
+		if delay, ok := world.delayWrite(request); ok {
+			wasValid := !world.state.malformed(&request)
+			world.schedule(delay, func() {
+				if wasValid && world.state.malformed(&request) {
 					// The limits were lowered while the request was on its way: the state service
 					// refuses the request, and nobody waits for the answer.
 					return
@@ -318,15 +324,15 @@
 			return
 		}
 		exec(answer)
-	}, message.StoreResponse{ID: e.ID, Status: message.StoreUnknown}, func() {
-		pause := state.RetryPause + time.Duration(w.rng.Int64N(int64(state.RetryJitter)))
-		w.schedule(pause, func() {
+	}, message.StoreResponse{ID: request.ID, Status: message.StoreUnknown}, func() {
+		pause := state.RetryPause + time.Duration(world.rng.Int64N(int64(state.RetryJitter)))
+		world.schedule(pause, func() {
 			switch {
-			case p.incarnation != incarnation:
-			case w.now.Before(until):
-				p.sendStoreRequest(e, until)
+			case process.incarnation != incarnation:
+			case world.now.Before(until):
+				process.sendStoreRequest(request, until)
 			default:
-				p.enqueue(message.StoreResponse{ID: e.ID, Status: message.StoreRefused})
+				process.enqueue(message.StoreResponse{ID: request.ID, Status: message.StoreRefused})
 			}
 		})
 	})
@@ -335,107 +341,107 @@
 // openWatch opens a watch. While the state service is unavailable or refuses this controller, the
 // watch gets no answer. openWatch opens it again when the fault is over, unless the time until has
 // passed, when the process has given up the watch.
-func (p *controllerProcess) openWatch(e message.StoreRequest, until time.Time, answer func(message.StoreResponse)) {
-	w := p.world
+func (process *controllerProcess) openWatch(request message.StoreRequest, until time.Time, answer func(message.StoreResponse)) {
+	world := process.world
 	unavailable := func() bool {
-		if !w.stateOutage && !p.stateRefused {
+		if !world.stateOutage && !process.stateRefused {
 			return false
 		}
-		if w.now.Before(until) {
-			w.schedule(tickInterval, func() { p.openWatch(e, until, answer) })
+		if world.now.Before(until) {
+			world.schedule(tickInterval, func() { process.openWatch(request, until, answer) })
 		}
 		return true
 	}
 	if unavailable() {
 		return
 	}
-	w.state.Do(w.now, e, func(d message.StoreResponse) {
+	world.state.Do(world.now, request, func(response message.StoreResponse) {
 		if !unavailable() {
-			answer(d)
+			answer(response)
 		}
 	})
 }
 
 // execute executes an effect of the controller.
-func (p *controllerProcess) execute(e message.Effect) {
-	w := p.world
-	w.rankingCheck.onSend(p, e)
-	switch e := e.(type) {
+func (process *controllerProcess) execute(effect message.Effect) {
+	world := process.world
+	world.rankingCheck.onSend(process, effect)
+	switch e := effect.(type) {
 	case message.StoreRequest:
-		p.executeStoreRequest(e)
+		process.executeStoreRequest(e)
 	case message.Rates:
-		p.limiter.SetRates(w.now, e)
+		process.limiter.SetRates(world.now, e)
 	case message.CloudRequest:
-		p.checkLeader(e)
-		p.call("cloud", false, cloudTimeout, func(answer func(message.Command)) { answer(w.executeCloud(e)) }, message.CloudResponse{ID: e.ID, Status: message.CloudUnknown})
+		process.checkLeader(e)
+		process.call("cloud", false, cloudTimeout, func(answer func(message.Command)) { answer(world.executeCloud(e)) }, message.CloudResponse{ID: e.ID, Status: message.CloudUnknown})
 	case message.WorkerRequest:
-		p.executeWorkerRequest(e)
+		process.executeWorkerRequest(e)
 	case message.UserReply:
-		w.noteCancelConfirmed(e)
-		p.reply(e.Reply, e)
+		world.noteCancelConfirmed(e)
+		process.reply(e.Reply, e)
 	case message.HeartbeatReply:
-		p.reply(e.Reply, e)
+		process.reply(e.Reply, e)
 	case message.RankingReply:
-		p.reply(e.Reply, e)
+		process.reply(e.Reply, e)
 	case message.StatusReply:
-		p.reply(e.Reply, e)
+		process.reply(e.Reply, e)
 	case message.PromiseReply:
-		p.reply(e.Reply, e)
+		process.reply(e.Reply, e)
 	case message.SendPeerUpdate:
-		if i := w.controllerIndex(e.To); i >= 0 {
-			w.sendMessage(p.name, e.To, func() {
-				if w.controllers[i].alive {
-					w.controllers[i].enqueue(e.Update)
+		if i := world.controllerIndex(e.To); i >= 0 {
+			world.sendMessage(process.name, e.To, func() {
+				if world.controllers[i].alive {
+					world.controllers[i].enqueue(e.Update)
 				}
 			})
 		}
 	case message.Log:
-		if !e.Debug || w.trace != "" && containsAny(fmt.Sprint(e.Args...), w.trace) {
-			w.logs = append(w.logs, fmt.Sprintf("%.1f %s %s %v", w.now.Sub(w.startedAt).Seconds(), p.name, e.Message, e.Args))
+		if !e.Debug || world.trace != "" && containsAny(fmt.Sprint(e.Args...), world.trace) {
+			world.logs = append(world.logs, fmt.Sprintf("%.1f %s %s %v", world.now.Sub(world.startedAt).Seconds(), process.name, e.Message, e.Args))
 		}
 	}
 }
 
 // executeStoreRequest sends a request to the state service when the process's rate limiter allows
 // it, as the real client does.
-func (p *controllerProcess) executeStoreRequest(e message.StoreRequest) {
-	w, incarnation := p.world, p.incarnation
-	d, ok := p.limiter.Reserve(w.now, e)
+func (process *controllerProcess) executeStoreRequest(request message.StoreRequest) {
+	world, incarnation := process.world, process.incarnation
+	delay, ok := process.limiter.Reserve(world.now, request)
 	if !ok {
-		p.enqueue(message.StoreResponse{ID: e.ID, Status: message.StoreRefused})
+		process.enqueue(message.StoreResponse{ID: request.ID, Status: message.StoreRefused})
 		return
 	}
-	w.schedule(d, func() {
-		if p.incarnation == incarnation {
-			p.sendStoreRequest(e, w.now.Add(state.Timeout(e)))
+	world.schedule(delay, func() {
+		if process.incarnation == incarnation {
+			process.sendStoreRequest(request, world.now.Add(state.Timeout(request)))
 		}
 	})
 }
 
 // executeWorkerRequest sends a request to the address of a machine's worker.
-func (p *controllerProcess) executeWorkerRequest(e message.WorkerRequest) {
-	w := p.world
-	failed := message.WorkerResponse{ID: e.ID}
-	m := w.machines[e.Machine]
-	if m == nil {
-		p.enqueue(failed)
+func (process *controllerProcess) executeWorkerRequest(request message.WorkerRequest) {
+	world := process.world
+	failed := message.WorkerResponse{ID: request.ID}
+	machine := world.machines[request.Machine]
+	if machine == nil {
+		process.enqueue(failed)
 		return
 	}
-	if p.delayCommand(m, e) {
-		p.call(m.ID, false, workerTimeout, func(func(message.Command)) {}, failed)
+	if process.delayCommand(machine, request) {
+		process.call(machine.ID, false, workerTimeout, func(func(message.Command)) {}, failed)
 		return
 	}
-	p.call(m.ID, !e.StatusOnly, workerTimeout, func(answer func(message.Command)) {
-		if !w.now.Before(m.upAt) {
-			answer(w.executeDirect(m, e))
+	process.call(machine.ID, !request.StatusOnly, workerTimeout, func(answer func(message.Command)) {
+		if !world.now.Before(machine.upAt) {
+			answer(world.executeDirect(machine, request))
 		}
 	}, failed)
 }
 
 // reply passes the answer to the function that the sender of request id registered.
-func (p *controllerProcess) reply(id uint64, e message.Effect) {
-	if fn := p.replies[id]; fn != nil {
-		delete(p.replies, id)
-		fn(e)
+func (process *controllerProcess) reply(id uint64, effect message.Effect) {
+	if fn := process.replies[id]; fn != nil {
+		delete(process.replies, id)
+		fn(effect)
 	}
 }
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -91,47 +91,47 @@
 }
 
 // teamWeight returns the weight of the team with an index in the draw of a job's team.
-func (d *Day) teamWeight(team int) float64 {
+func (day *Day) teamWeight(team int) float64 {
 	if team == 0 {
-		return float64(d.HotFactor)
+		return float64(day.HotFactor)
 	}
 	return 1
 }
 
 // cloudInventory returns the machine types of the day's cloud and the number of machines, by
 // capacityKey.
-func (d *Day) cloudInventory() ([]model.MachineType, map[string]int) {
+func (day *Day) cloudInventory() ([]model.MachineType, map[string]int) {
 	types := []model.MachineType{
-		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: d.Settings.Zones},
-		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: d.Settings.Zones[:1]},
+		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: day.Settings.Zones},
+		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: day.Settings.Zones[:1]},
 	}
 	capacity := map[string]int{}
-	for _, z := range d.Settings.Zones {
-		each := max(1, d.Machines/len(d.Settings.Zones))
+	for _, z := range day.Settings.Zones {
+		each := max(1, day.Machines/len(day.Settings.Zones))
 		capacity["box/"+z+"/true"], capacity["box/"+z+"/false"] = max(1, each*45/100), max(1, each*45/100)
 	}
-	capacity["rack/"+d.Settings.Zones[0]+"/true"], capacity["rack/"+d.Settings.Zones[0]+"/false"] = max(1, d.Machines*6/100), max(1, d.Machines*4/100)
-	if d.Models > 0 {
-		types = append(types, modelMachineType(d.Settings.Zones[0]))
-		capacity["host/"+d.Settings.Zones[0]+"/false"] = d.Models
+	capacity["rack/"+day.Settings.Zones[0]+"/true"], capacity["rack/"+day.Settings.Zones[0]+"/false"] = max(1, day.Machines*6/100), max(1, day.Machines*4/100)
+	if day.Models > 0 {
+		types = append(types, modelMachineType(day.Settings.Zones[0]))
+		capacity["host/"+day.Settings.Zones[0]+"/false"] = day.Models
 	}
 	return types, capacity
 }
 
 // Shrink removes faults from a day one at a time, as long as broken still returns true for the
 // result of the day. progress is called with a message for each fault that was removed.
-func Shrink(d Day, broken func(DayResult) bool, progress func(string)) Day {
+func Shrink(day Day, broken func(DayResult) bool, progress func(string)) Day {
 	for again := true; again; {
 		again = false
-		for i := range d.Faults {
-			smaller := d
-			smaller.Faults = slices.Delete(slices.Clone(d.Faults), i, i+1)
-			if r := RunDay(smaller, ""); broken(r) {
-				progress(fmt.Sprintf("still broken without %s", d.Faults[i]))
-				d, again = smaller, true
+		for i := range day.Faults {
+			smaller := day
+			smaller.Faults = slices.Delete(slices.Clone(day.Faults), i, i+1)
+			if result := RunDay(smaller, ""); broken(result) {
+				progress(fmt.Sprintf("still broken without %s", day.Faults[i]))
+				day, again = smaller, true
 				break
 			}
 		}
 	}
-	return d
+	return day
 }
--- a/internal/simulation/day_result.go
+++ b/internal/simulation/day_result.go
@@ -21,14 +21,14 @@
 
 // recordMillis records a duration in a histogram of milliseconds. A duration below 1 ms counts as 1
 // ms.
-func recordMillis(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(1, d.Milliseconds()))
+func recordMillis(histogram *hdrhistogram.Histogram, duration time.Duration) {
+	_ = histogram.RecordValue(max(1, duration.Milliseconds()))
 }
 
 // distributionOf returns the distribution, in seconds, of a histogram of milliseconds.
-func distributionOf(h *hdrhistogram.Histogram) Distribution {
-	s := func(v int64) float64 { return float64(v) / 1000 }
-	return Distribution{s(h.ValueAtQuantile(50)), s(h.ValueAtQuantile(90)), s(h.Max())}
+func distributionOf(histogram *hdrhistogram.Histogram) Distribution {
+	seconds := func(v int64) float64 { return float64(v) / 1000 }
+	return Distribution{seconds(histogram.ValueAtQuantile(50)), seconds(histogram.ValueAtQuantile(90)), seconds(histogram.Max())}
 }
 
 // Group is the outcome of the jobs of a class or of a team. A class is all jobs of a workload.
@@ -91,38 +91,38 @@
 // Starved describes the classes and teams of which less than half of the jobs were served or less
 // than half of the tasks completed, the classes of which less than half of the largest jobs were
 // served, and the largest jobs that started late.
-func (r *DayResult) Starved() []string {
+func (result *DayResult) Starved() []string {
 	var out []string
-	for _, g := range append(slices.Clone(r.Classes), r.TeamGroups...) {
-		if g.ServedFraction < 0.5 || g.CompletedFraction < 0.5 {
-			out = append(out, fmt.Sprintf("%s %.2f of %d jobs, %.2f of their tasks", g.Name, g.ServedFraction, g.Jobs, g.CompletedFraction))
+	for _, group := range append(slices.Clone(result.Classes), result.TeamGroups...) {
+		if group.ServedFraction < 0.5 || group.CompletedFraction < 0.5 {
+			out = append(out, fmt.Sprintf("%s %.2f of %d jobs, %.2f of their tasks", group.Name, group.ServedFraction, group.Jobs, group.CompletedFraction))
 		}
-		if l := g.Largest; l != nil && l.ServedFraction < 0.5 {
-			out = append(out, fmt.Sprintf("%s %.2f of its largest jobs", g.Name, l.ServedFraction))
+		if outcome := group.Largest; outcome != nil && outcome.ServedFraction < 0.5 {
+			out = append(out, fmt.Sprintf("%s %.2f of its largest jobs", group.Name, outcome.ServedFraction))
 		}
-		if l := g.Largest; l != nil && len(l.Late) > 0 {
-			out = append(out, fmt.Sprintf("%s begins late: %s", g.Name, strings.Join(l.Late, "; ")))
+		if outcome := group.Largest; outcome != nil && len(outcome.Late) > 0 {
+			out = append(out, fmt.Sprintf("%s begins late: %s", group.Name, strings.Join(outcome.Late, "; ")))
 		}
 	}
 	return out
 }
 
 // summarize returns the outcome of the day's jobs and machines so far.
-func (d *Day) summarize(w *World) DayResult {
-	r := DayResult{
-		Day: *d, Starts: w.Starts, StartsAfterCancel: w.StartsAfterCancel, LostToLease: w.LostToLease, RefusedRequests: w.RefusedRequests,
-		WritesPerSecond: float64(w.state.writeCount) / w.now.Sub(w.startedAt).Seconds(), RateLimited: w.state.RateLimited, MalformedRequests: w.state.Malformed, LastMalformed: w.state.LastMalformed,
-		RentedMachines: len(w.machineIDs), Promises: w.promiseSummary(),
+func (day *Day) summarize(world *World) DayResult {
+	result := DayResult{
+		Day: *day, Starts: world.Starts, StartsAfterCancel: world.StartsAfterCancel, LostToLease: world.LostToLease, RefusedRequests: world.RefusedRequests,
+		WritesPerSecond: float64(world.state.writeCount) / world.now.Sub(world.startedAt).Seconds(), RateLimited: world.state.RateLimited, MalformedRequests: world.state.Malformed, LastMalformed: world.state.LastMalformed,
+		RentedMachines: len(world.machineIDs), Promises: world.promiseSummary(),
 	}
-	if w.state.Malformed > 0 {
-		r.Violations = append(r.Violations, fmt.Sprintf("malformed: %d requests to the state service, the last: %s", w.state.Malformed, w.state.LastMalformed))
+	if world.state.Malformed > 0 {
+		result.Violations = append(result.Violations, fmt.Sprintf("malformed: %d requests to the state service, the last: %s", world.state.Malformed, world.state.LastMalformed))
 	}
-	d.summarizeGroups(w, &r)
-	w.summarizeFleet(&r)
-	if w.Starts == 0 {
-		r.Violations = append(r.Violations, "nothing_ran")
+	day.summarizeGroups(world, &result)
+	world.summarizeFleet(&result)
+	if world.Starts == 0 {
+		result.Violations = append(result.Violations, "nothing_ran")
 	}
-	return r
+	return result
 }
 
 // groupSums adds up the jobs of a class or a team.
@@ -133,82 +133,82 @@
 }
 
 // add counts a job in its state at now.
-func (s *groupSums) add(j *userJob, now time.Time) {
-	s.jobs++
-	s.tasks += j.spec.Tasks
-	s.completed += j.completedCount()
-	wait := now.Sub(j.eligibleSince())
-	for _, at := range j.firstStarts {
-		wait = min(wait, at.Sub(j.eligibleSince()))
+func (sums *groupSums) add(job *userJob, now time.Time) {
+	sums.jobs++
+	sums.tasks += job.spec.Tasks
+	sums.completed += job.completedCount()
+	wait := now.Sub(job.eligibleSince())
+	for _, at := range job.firstStarts {
+		wait = min(wait, at.Sub(job.eligibleSince()))
 	}
-	recordMillis(s.wait, wait)
+	recordMillis(sums.wait, wait)
 	end := now
-	if j.isServed() {
-		s.served++
-		end = j.finished
+	if job.isServed() {
+		sums.served++
+		end = job.finished
 	}
-	if j.spec.Deadline > 0 {
-		recordMillis(s.late, end.Sub(j.submitted.Add(j.spec.Deadline)))
+	if job.spec.Deadline > 0 {
+		recordMillis(sums.late, end.Sub(job.submitted.Add(job.spec.Deadline)))
 	}
 }
 
 // summarizeGroups adds the outcome of the classes and teams to a result. Jobs that were cancelled,
 // always fail or are invalid are left out.
-func (d *Day) summarizeGroups(w *World, r *DayResult) {
+func (day *Day) summarizeGroups(world *World, result *DayResult) {
 	sumsByGroup := map[string]*groupSums{}
-	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
-		if j.isCancelled() || j.alwaysFails || j.invalid {
+	for _, id := range sortedKeys(world.jobs) {
+		job := world.jobs[id]
+		if job.isCancelled() || job.alwaysFails || job.invalid {
 			continue
 		}
-		for _, k := range []string{"class " + j.spec.Workload, "team " + j.spec.Team} {
-			s := sumsByGroup[k]
-			if s == nil {
-				s = &groupSums{wait: newHistogram(), late: newHistogram()}
-				sumsByGroup[k] = s
+		for _, k := range []string{"class " + job.spec.Workload, "team " + job.spec.Team} {
+			sums := sumsByGroup[k]
+			if sums == nil {
+				sums = &groupSums{wait: newHistogram(), late: newHistogram()}
+				sumsByGroup[k] = sums
 			}
-			s.add(j, w.now)
+			sums.add(job, world.now)
 		}
 	}
-	largest := w.largestJobs()
+	largest := world.largestJobs()
 	for _, k := range sortedKeys(sumsByGroup) {
-		s := sumsByGroup[k]
+		sums := sumsByGroup[k]
 		kind, name, _ := strings.Cut(k, " ")
-		g := Group{
-			Name: name, Jobs: s.jobs, ServedFraction: float64(s.served) / float64(s.jobs), Tasks: s.tasks, CompletedFraction: float64(s.completed) / float64(s.tasks),
-			Wait: distributionOf(s.wait), Late: distributionOf(s.late),
+		group := Group{
+			Name: name, Jobs: sums.jobs, ServedFraction: float64(sums.served) / float64(sums.jobs), Tasks: sums.tasks, CompletedFraction: float64(sums.completed) / float64(sums.tasks),
+			Wait: distributionOf(sums.wait), Late: distributionOf(sums.late),
 		}
 		if kind != "class" {
-			r.TeamGroups = append(r.TeamGroups, g)
+			result.TeamGroups = append(result.TeamGroups, group)
 			continue
 		}
 		if t, ok := largest[name]; ok {
-			g.Largest = &LargestJobs{ServedFraction: d.largestServedFraction(w, t)}
+			group.Largest = &LargestJobs{ServedFraction: day.largestServedFraction(world, t)}
 		}
-		r.Classes = append(r.Classes, g)
+		result.Classes = append(result.Classes, group)
 	}
 }
 
 // summarizeFleet adds the cost of the rented machines and the number of unused ones to a result.
 // Each machine costs at least one minute.
-func (w *World) summarizeFleet(r *DayResult) {
-	for _, id := range w.machineIDs {
-		m := w.machines[id]
-		end := w.now
+func (world *World) summarizeFleet(result *DayResult) {
+	for _, id := range world.machineIDs {
+		machine := world.machines[id]
+		end := world.now
 		switch {
-		case !m.goneAt.IsZero():
-			end = m.goneAt
-		case m.dead:
-			end = m.diedAt
+		case !machine.goneAt.IsZero():
+			end = machine.goneAt
+		case machine.dead:
+			end = machine.diedAt
 		}
-		t := w.machineTypes[m.MachineType]
-		costPerHour := t.CostPerHour
-		if m.Spot {
-			costPerHour = t.SpotCostPerHour
+		machineType := world.machineTypes[machine.MachineType]
+		costPerHour := machineType.CostPerHour
+		if machine.Spot {
+			costPerHour = machineType.SpotCostPerHour
 		}
-		r.Cost += costPerHour * max(end.Sub(m.rentedAt), time.Minute).Hours()
-		if !m.everUsed {
-			r.UnusedMachines++
+		result.Cost += costPerHour * max(end.Sub(machine.rentedAt), time.Minute).Hours()
+		if !machine.everUsed {
+			result.UnusedMachines++
 		}
 	}
 }
--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -82,55 +82,55 @@
 }
 
 // generateExtraFault draws a fault of this file. The caller sets At.
-func (d *Day) generateExtraFault(rng *rand.Rand) Fault {
+func (day *Day) generateExtraFault(rng *rand.Rand) Fault {
 	kind := extraFaultKinds[rng.IntN(len(extraFaultKinds))]
-	oneOf := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
-	f := Fault{Kind: kind, Duration: logUniform(rng, 8*time.Second, 90*time.Second), Controller: rng.IntN(d.Controllers)}
+	oneOf := func(values ...float64) float64 { return values[rng.IntN(len(values))] }
+	fault := Fault{Kind: kind, Duration: logUniform(rng, 8*time.Second, 90*time.Second), Controller: rng.IntN(day.Controllers)}
 	switch kind {
 	case "cancel_now":
-		f.Count, f.Duration = 1+rng.IntN(40), time.Second
+		fault.Count, fault.Duration = 1+rng.IntN(40), time.Second
 		if rng.IntN(3) > 0 {
-			f.Duration = logUniform(rng, time.Second, 2*d.cancelWithin())
+			fault.Duration = logUniform(rng, time.Second, 2*day.cancelWithin())
 		}
 	case "cancel_at_end":
-		f.Fraction = oneOf(0.1, 0.5, 1)
+		fault.Fraction = oneOf(0.1, 0.5, 1)
 	case "machine_mute":
-		f.Fraction = oneOf(1e-9, 0.1, 1)
-		if f.Fraction == 1 {
-			f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
+		fault.Fraction = oneOf(1e-9, 0.1, 1)
+		if fault.Fraction == 1 {
+			fault.Zone = day.Settings.Zones[len(day.Settings.Zones)-1]
 		}
 	case "late_writes.at_once":
-		f.Kind, f.Immediate, f.Fraction = "late_writes", true, oneOf(0.05, 0.2, 0.5)
+		fault.Kind, fault.Immediate, fault.Fraction = "late_writes", true, oneOf(0.05, 0.2, 0.5)
 	case "copies.for_next":
-		f.Kind, f.ForNextLeader = "copies", true
-		f.Delay, f.Fraction = logUniform(rng, 2*time.Second, 5*d.Settings.WorkerLease), oneOf(0.05, 0.3, 1)
+		fault.Kind, fault.ForNextLeader = "copies", true
+		fault.Delay, fault.Fraction = logUniform(rng, 2*time.Second, 5*day.Settings.WorkerLease), oneOf(0.05, 0.3, 1)
 	case "late_commands":
-		f.Fraction = oneOf(0.05, 0.3, 1)
+		fault.Fraction = oneOf(0.05, 0.3, 1)
 	case "slow_node":
-		f.SlowFactor, f.Busiest = 4+16*rng.Float64(), rng.IntN(3) > 0
+		fault.SlowFactor, fault.Busiest = 4+16*rng.Float64(), rng.IntN(3) > 0
 	}
-	return f
+	return fault
 }
 
 // startExtraFault begins a fault if its kind belongs to this file, and reports whether it does.
-func (w *World) startExtraFault(f Fault, rng *rand.Rand) bool {
-	until := w.now.Add(f.Duration)
-	switch f.Kind {
+func (world *World) startExtraFault(fault Fault, rng *rand.Rand) bool {
+	until := world.now.Add(fault.Duration)
+	switch fault.Kind {
 	case "cancel_now":
-		w.CancelLongRunning(f.Count, f.Duration)
+		world.CancelLongRunning(fault.Count, fault.Duration)
 	case "cancel_at_end":
-		w.cancelAtEndRate, w.cancelAtEndUntil = f.Fraction, until
+		world.cancelAtEndRate, world.cancelAtEndUntil = fault.Fraction, until
 	case "machine_mute":
-		w.MakeUnheard(w.SampleMachineIDs(f.Fraction, f.Zone, rng), f.Duration)
+		world.MakeUnheard(world.SampleMachineIDs(fault.Fraction, fault.Zone, rng), fault.Duration)
 	case "odd_requests":
-		w.SendInvalidRequests(f.Duration)
+		world.SendInvalidRequests(fault.Duration)
 	case "close_looks":
-		w.concurrentReadsUntil = until
+		world.concurrentReadsUntil = until
 	case "late_commands":
-		w.DelayCommands(f.Fraction, f.Duration)
+		world.DelayCommands(fault.Fraction, fault.Duration)
 	case "slow_node":
-		p := w.controllers[f.Controller%len(w.controllers)]
-		p.slowUntil, p.slowFactor = until, f.SlowFactor
+		process := world.controllers[fault.Controller%len(world.controllers)]
+		process.slowUntil, process.slowFactor = until, fault.SlowFactor
 	default:
 		return false
 	}
@@ -140,13 +140,13 @@
 // CancelLongRunning cancels up to count running jobs within massCancelWithin: the jobs with the
 // longest remaining run time, of at least minRemainingRunTime. Up to maxHungMachines of their
 // machines hang for the duration hang from the cancellation on.
-func (w *World) CancelLongRunning(count int, hang time.Duration) {
+func (world *World) CancelLongRunning(count int, hang time.Duration) {
 	remaining := map[string]time.Duration{}
-	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
-		w.eachRunningTask(j, func(t *workerTask, _ *Worker) {
-			if !j.cancelRequested && t.status == model.Running {
-				remaining[id] = max(remaining[id], t.remaining)
+	for _, id := range sortedKeys(world.jobs) {
+		job := world.jobs[id]
+		world.eachRunningTask(job, func(task *workerTask, _ *Worker) {
+			if !job.cancelRequested && task.status == model.Running {
+				remaining[id] = max(remaining[id], task.remaining)
 			}
 		})
 	}
@@ -154,12 +154,12 @@
 	slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(remaining[b], remaining[a]) })
 	hung := map[*Worker]bool{}
 	for _, id := range ids[:min(count, len(ids))] {
-		w.schedule(time.Duration(w.rng.Int64N(int64(massCancelWithin))), func() {
-			w.Cancel(id)
-			w.eachRunningTask(w.jobs[id], func(_ *workerTask, m *Worker) {
-				if hang > 0 && len(hung) < maxHungMachines && !hung[m] {
-					hung[m] = true
-					m.hungUntil = w.now.Add(hang)
+		world.schedule(time.Duration(world.rng.Int64N(int64(massCancelWithin))), func() {
+			world.Cancel(id)
+			world.eachRunningTask(world.jobs[id], func(_ *workerTask, machine *Worker) {
+				if hang > 0 && len(hung) < maxHungMachines && !hung[machine] {
+					hung[machine] = true
+					machine.hungUntil = world.now.Add(hang)
 				}
 			})
 		})
@@ -167,12 +167,12 @@
 }
 
 // eachRunningTask calls fn with each attempt of a job that takes resources of a machine.
-func (w *World) eachRunningTask(j *userJob, fn func(*workerTask, *Worker)) {
-	for i := range j.spec.Tasks {
-		for _, m := range j.machines[i] {
-			for _, k := range sortedKeys(m.tasks) {
-				if t := m.tasks[k]; t.job == j && t.index == i && t.onMachine() {
-					fn(t, m)
+func (world *World) eachRunningTask(job *userJob, fn func(*workerTask, *Worker)) {
+	for i := range job.spec.Tasks {
+		for _, machine := range job.machines[i] {
+			for _, k := range sortedKeys(machine.tasks) {
+				if task := machine.tasks[k]; task.job == job && task.index == i && task.onMachine() {
+					fn(task, machine)
 				}
 			}
 		}
@@ -181,58 +181,58 @@
 
 // maybeCancelAtEnd cancels a job whose last task is done, with probability cancelAtEndRate while
 // the fault lasts.
-func (w *World) maybeCancelAtEnd(j *userJob) {
-	if len(j.doneTasks) < j.spec.Tasks || j.cancelRequested || !w.now.Before(w.cancelAtEndUntil) || w.rng.Float64() >= w.cancelAtEndRate {
+func (world *World) maybeCancelAtEnd(job *userJob) {
+	if len(job.doneTasks) < job.spec.Tasks || job.cancelRequested || !world.now.Before(world.cancelAtEndUntil) || world.rng.Float64() >= world.cancelAtEndRate {
 		return
 	}
-	w.Cancel(j.spec.ID)
+	world.Cancel(job.spec.ID)
 }
 
-// MakeUnheard keeps the heartbeats of machines from reaching any controller for d. Direct requests
-// still reach the machines and are answered.
-func (w *World) MakeUnheard(ids []string, d time.Duration) {
+// MakeUnheard keeps the heartbeats of machines from reaching any controller for the given duration.
+// Direct requests still reach the machines and are answered.
+func (world *World) MakeUnheard(ids []string, duration time.Duration) {
 	for _, id := range ids {
-		if m := w.machines[id]; m != nil {
-			m.unheardUntil = w.now.Add(d)
+		if machine := world.machines[id]; machine != nil {
+			machine.unheardUntil = world.now.Add(duration)
 		}
 	}
 }
 
 // delayForCompute pauses a slow process for the duration of a step, so that it sends the effects of
 // the step later.
-func (p *controllerProcess) delayForCompute(commands, effects int) {
-	w := p.world
-	if !w.now.Before(p.slowUntil) || commands+effects == 0 || w.now.Before(p.pausedUntil) {
+func (process *controllerProcess) delayForCompute(commands, effects int) {
+	world := process.world
+	if !world.now.Before(process.slowUntil) || commands+effects == 0 || world.now.Before(process.pausedUntil) {
 		return
 	}
 	took := stepBaseTime + time.Duration(commands+effects)*stepItemTime
-	p.pausedUntil = w.now.Add(time.Duration(p.slowFactor * float64(took)))
-	w.resumeWhenDue(p)
+	process.pausedUntil = world.now.Add(time.Duration(process.slowFactor * float64(took)))
+	world.resumeWhenDue(process)
 }
 
-// DelayCommands delays a fraction of the direct commands that controllers send during the next d. A
-// delayed command gets no answer. The worker executes it once, late, if epoch and incarnation still
-// match.
-func (w *World) DelayCommands(fraction float64, d time.Duration) {
-	w.lateCommandRate, w.lateCommandsUntil = fraction, w.now.Add(d)
+// DelayCommands delays a fraction of the direct commands that controllers send during the given
+// duration. A delayed command gets no answer. The worker executes it once, late, if epoch and
+// incarnation still match.
+func (world *World) DelayCommands(fraction float64, duration time.Duration) {
+	world.lateCommandRate, world.lateCommandsUntil = fraction, world.now.Add(duration)
 }
 
-// delayCommand decides whether a direct request to m is delayed and reports it. It schedules the
-// delivery of a delayed request, which is lost if the worker restarts before.
-func (p *controllerProcess) delayCommand(m *Worker, op message.WorkerRequest) bool {
-	w := p.world
-	if op.StatusOnly || !w.now.Before(w.lateCommandsUntil) || w.rng.Float64() >= w.lateCommandRate {
+// delayCommand decides whether a direct request to machine is delayed and reports it. It schedules
+// the delivery of a delayed request, which is lost if the worker restarts before.
+func (process *controllerProcess) delayCommand(machine *Worker, request message.WorkerRequest) bool {
+	world := process.world
+	if request.StatusOnly || !world.now.Before(world.lateCommandsUntil) || world.rng.Float64() >= world.lateCommandRate {
 		return false
 	}
-	process := m.process
-	d := minCommandDelay + time.Duration(w.rng.Int64N(int64(maxCommandDelay-minCommandDelay)))
-	w.schedule(d, func() {
-		if m.process != process {
+	workerProcess := machine.process
+	duration := minCommandDelay + time.Duration(world.rng.Int64N(int64(maxCommandDelay-minCommandDelay)))
+	world.schedule(duration, func() {
+		if machine.process != workerProcess {
 			return
 		}
-		w.sendMessage(p.name, m.ID, func() {
-			if !w.now.Before(m.upAt) && w.executeDirect(m, op).OK {
-				w.lateCommandsDone++
+		world.sendMessage(process.name, machine.ID, func() {
+			if !world.now.Before(machine.upAt) && world.executeDirect(machine, request).OK {
+				world.lateCommandsDone++
 			}
 		})
 	})
@@ -240,36 +240,36 @@
 }
 
 // holdHeartbeat keeps a copy of a heartbeat for the next leader.
-func (w *World) holdHeartbeat(r model.Heartbeat) {
-	if len(w.heldHeartbeats) == 0 {
-		w.leaderAtCapture = w.leaderName()
+func (world *World) holdHeartbeat(heartbeat model.Heartbeat) {
+	if len(world.heldHeartbeats) == 0 {
+		world.leaderAtCapture = world.leaderName()
 	}
-	if len(w.heldHeartbeats) < maxHeldHeartbeats {
-		w.heldHeartbeats = append(w.heldHeartbeats, r)
+	if len(world.heldHeartbeats) < maxHeldHeartbeats {
+		world.heldHeartbeats = append(world.heldHeartbeats, heartbeat)
 	}
 }
 
 // replayHeldHeartbeats delivers the kept heartbeats to every controller, in random order within a
 // second, as soon as another controller is the leader.
-func (w *World) replayHeldHeartbeats() {
-	if len(w.heldHeartbeats) == 0 {
+func (world *World) replayHeldHeartbeats() {
+	if len(world.heldHeartbeats) == 0 {
 		return
 	}
-	if !w.now.Before(w.holdHeartbeatsUntil) {
-		w.heldHeartbeats = nil
+	if !world.now.Before(world.holdHeartbeatsUntil) {
+		world.heldHeartbeats = nil
 		return
 	}
-	leader := w.leaderName()
-	if leader == "" || leader == w.leaderAtCapture {
+	leader := world.leaderName()
+	if leader == "" || leader == world.leaderAtCapture {
 		return
 	}
-	held := w.heldHeartbeats
-	w.heldHeartbeats = nil
-	w.heartbeatsReplayed += len(held)
-	for _, p := range w.controllers {
-		for _, r := range held {
-			w.schedule(time.Duration(w.rng.Int64N(int64(time.Second))), func() {
-				p.deliverHeartbeat(r, func(message.Effect) {})
+	held := world.heldHeartbeats
+	world.heldHeartbeats = nil
+	world.heartbeatsReplayed += len(held)
+	for _, process := range world.controllers {
+		for _, heartbeat := range held {
+			world.schedule(time.Duration(world.rng.Int64N(int64(time.Second))), func() {
+				process.deliverHeartbeat(heartbeat, func(message.Effect) {})
 			})
 		}
 	}
@@ -278,24 +278,24 @@
 // readConcurrently queries a job and repeats its submission at all controllers within
 // concurrentReadWindow, while the fault lasts. It is called after an answer with a new state. Some
 // users also cancel the job.
-func (w *World) readConcurrently(j *userJob) {
-	if !w.now.Before(w.concurrentReadsUntil) {
+func (world *World) readConcurrently(job *userJob) {
+	if !world.now.Before(world.concurrentReadsUntil) {
 		return
 	}
-	withinWindow := func() time.Duration { return time.Duration(w.rng.Int64N(int64(concurrentReadWindow))) }
-	for i := range w.controllers {
+	withinWindow := func() time.Duration { return time.Duration(world.rng.Int64N(int64(concurrentReadWindow))) }
+	for i := range world.controllers {
 		for range readsPerController {
-			w.schedule(withinWindow(), func() {
-				w.checkedRequest(i, j, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: j.spec.ID} })
+			world.schedule(withinWindow(), func() {
+				world.checkedRequest(i, job, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: job.spec.ID} })
 			})
 		}
-		w.schedule(withinWindow(), func() {
-			w.checkedRequest(i, j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
+		world.schedule(withinWindow(), func() {
+			world.checkedRequest(i, job, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: job.spec} })
 		})
 	}
-	if !j.cancelRequested && !isFinal(j.lastState) && w.rng.IntN(cancelOneIn) == 0 {
-		j.cancelRequested = true
-		w.schedule(withinWindow(), func() { w.Cancel(j.spec.ID) })
+	if !job.cancelRequested && !isFinal(job.lastState) && world.rng.IntN(cancelOneIn) == 0 {
+		job.cancelRequested = true
+		world.schedule(withinWindow(), func() { world.Cancel(job.spec.ID) })
 	}
 }
 
@@ -305,80 +305,81 @@
 // checkedRequest sends a request about an accepted job to one controller. The answer must agree
 // with what the user knew when he sent the request: the job exists, and a final state has not
 // changed.
-func (w *World) checkedRequest(to int, j *userJob, newCommand func(uint64) message.Command) {
-	id, lastState, requestedAt := j.spec.ID, j.lastState, w.now
-	w.userRequestTo(to, newCommand, 2*time.Second, func(r *message.UserReply) {
+func (world *World) checkedRequest(to int, job *userJob, newCommand func(uint64) message.Command) {
+	id, lastState, requestedAt := job.spec.ID, job.lastState, world.now
+	world.userRequestTo(to, newCommand, 2*time.Second, func(reply *message.UserReply) {
 		switch {
-		case r == nil:
-		case r.Status == http.StatusNotFound || r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity:
-			w.violate("forgotten", "%s answered %d by %s", id, r.Status, w.controllers[to].name)
-		case r.Status != http.StatusOK && r.Status != http.StatusCreated:
-		case isFinal(lastState) && r.State != lastState:
-			w.violate("went_back", "%s was %s, is called %s by %s", id, lastState, r.State, w.controllers[to].name)
-		case isFinal(r.State) && !isFinal(j.lastState):
-			w.checkAnswer(j, requestedAt, r)
+		case reply == nil:
+		case reply.Status == http.StatusNotFound || reply.Status == http.StatusBadRequest || reply.Status == http.StatusUnprocessableEntity:
+			world.violate("forgotten", "%s answered %d by %s", id, reply.Status, world.controllers[to].name)
+		case reply.Status != http.StatusOK && reply.Status != http.StatusCreated:
+		case isFinal(lastState) && reply.State != lastState:
+			world.violate("went_back", "%s was %s, is called %s by %s", id, lastState, reply.State, world.controllers[to].name)
+		case isFinal(reply.State) && !isFinal(job.lastState):
+			world.checkAnswer(job, requestedAt, reply)
 		}
 	})
 }
 
-// SendInvalidRequests makes users send superfluous and invalid requests for d: they submit
-// unfinished jobs again, cancel done jobs, and submit jobs that fit no machine or lack a field.
-func (w *World) SendInvalidRequests(d time.Duration) {
-	running := w.now.Before(w.invalidRequestsUntil)
-	w.invalidRequestsUntil = w.now.Add(d)
+// SendInvalidRequests makes users send superfluous and invalid requests for the given duration:
+// they submit unfinished jobs again, cancel done jobs, and submit jobs that fit no machine or lack
+// a field.
+func (world *World) SendInvalidRequests(duration time.Duration) {
+	running := world.now.Before(world.invalidRequestsUntil)
+	world.invalidRequestsUntil = world.now.Add(duration)
 	if !running {
-		w.sendNextInvalidRequest()
+		world.sendNextInvalidRequest()
 	}
 }
 
 // sendNextInvalidRequest sends one request of SendInvalidRequests and schedules the next.
-func (w *World) sendNextInvalidRequest() {
-	if !w.now.Before(w.invalidRequestsUntil) {
+func (world *World) sendNextInvalidRequest() {
+	if !world.now.Before(world.invalidRequestsUntil) {
 		return
 	}
-	w.schedule(w.jitter(invalidRequestInterval), w.sendNextInvalidRequest)
+	world.schedule(world.jitter(invalidRequestInterval), world.sendNextInvalidRequest)
 	var unfinished, done []*userJob
-	for _, id := range sortedKeys(w.jobs) {
-		switch j := w.jobs[id]; {
-		case j.lastState == "done" && !j.cancelRequested:
-			done = append(done, j)
-		case j.accepted && !isFinal(j.lastState):
-			unfinished = append(unfinished, j)
+	for _, id := range sortedKeys(world.jobs) {
+		switch job := world.jobs[id]; {
+		case job.lastState == "done" && !job.cancelRequested:
+			done = append(done, job)
+		case job.accepted && !isFinal(job.lastState):
+			unfinished = append(unfinished, job)
 		}
 	}
-	switch k := w.rng.IntN(4); {
+	switch k := world.rng.IntN(4); {
 	case k == 0 && len(unfinished) > 0:
-		j := unfinished[w.rng.IntN(len(unfinished))]
-		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
+		job := unfinished[world.rng.IntN(len(unfinished))]
+		world.checkedRequest(world.rng.IntN(len(world.controllers)), job, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: job.spec} })
 	case k == 1 && len(done) > 0:
-		j := done[w.rng.IntN(len(done))]
-		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: j.spec.ID} })
+		job := done[world.rng.IntN(len(done))]
+		world.checkedRequest(world.rng.IntN(len(world.controllers)), job, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: job.spec.ID} })
 	case k >= 2 && len(unfinished) > 0:
-		w.submitInvalidJob(unfinished[w.rng.IntN(len(unfinished))].spec)
+		world.submitInvalidJob(unfinished[world.rng.IntN(len(unfinished))].spec)
 	}
 }
 
-// submitInvalidJob submits a variant of s that fits no machine, names an unknown machine type, zone
-// or team, or lacks a field. The controllers must not accept it.
-func (w *World) submitInvalidJob(s model.JobSpec) {
-	w.invalidJobs++
-	s.ID = fmt.Sprintf("job-8%05d", w.invalidJobs)
-	c := message.SubmitJob{Spec: s}
-	switch w.rng.IntN(5) {
+// submitInvalidJob submits a variant of spec that fits no machine, names an unknown machine type,
+// zone or team, or lacks a field. The controllers must not accept it.
+func (world *World) submitInvalidJob(spec model.JobSpec) {
+	world.invalidJobs++
+	spec.ID = fmt.Sprintf("job-8%05d", world.invalidJobs)
+	request := message.SubmitJob{Spec: spec}
+	switch world.rng.IntN(5) {
 	case 0:
-		c.Spec.Need.CPU = 1e6
+		request.Spec.Need.CPU = 1e6
 	case 1:
-		c.Spec.MachineTypes = []string{"none"}
+		request.Spec.MachineTypes = []string{"none"}
 	case 2:
-		c.Spec.Zone = "nowhere"
+		request.Spec.Zone = "nowhere"
 	case 3:
-		c.Spec.Team = "nobody"
+		request.Spec.Team = "nobody"
 	case 4:
-		c = message.SubmitJob{Spec: model.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
+		request = message.SubmitJob{Spec: model.JobSpec{ID: spec.ID}, MalformedReason: "pieces is missing"}
 	}
-	w.userRequest(func(r uint64) message.Command { c.Reply = r; return c }, 5*time.Second, func(r *message.UserReply) {
-		if r != nil && (r.Status == http.StatusOK || r.Status == http.StatusCreated) {
-			w.violate("accepted_odd", "%s answered %d", s.ID, r.Status)
+	world.userRequest(func(reply uint64) message.Command { request.Reply = reply; return request }, 5*time.Second, func(reply *message.UserReply) {
+		if reply != nil && (reply.Status == http.StatusOK || reply.Status == http.StatusCreated) {
+			world.violate("accepted_odd", "%s answered %d", spec.ID, reply.Status)
 		}
 	})
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -51,31 +51,31 @@
 }
 
 // String describes the fault for reports of days.
-func (f Fault) String() string {
-	s := fmt.Sprintf("%.0fs %s", f.At.Seconds(), f.Kind)
-	if f.Link != "" {
-		s += " from " + f.Link
+func (fault Fault) String() string {
+	s := fmt.Sprintf("%.0fs %s", fault.At.Seconds(), fault.Kind)
+	if fault.Link != "" {
+		s += " from " + fault.Link
 	}
 	switch {
-	case f.Kind == "machines" || f.Fraction > 0:
-		s += fmt.Sprintf(" %.0f%%", 100*f.Fraction)
-	case f.Count > 0:
-		s += fmt.Sprintf(" %d", f.Count)
-	case f.Busiest:
+	case fault.Kind == "machines" || fault.Fraction > 0:
+		s += fmt.Sprintf(" %.0f%%", 100*fault.Fraction)
+	case fault.Count > 0:
+		s += fmt.Sprintf(" %d", fault.Count)
+	case fault.Busiest:
 		s += " busiest"
 	default:
-		s += fmt.Sprintf(" node-%d", f.Controller)
+		s += fmt.Sprintf(" node-%d", fault.Controller)
 	}
-	if f.Immediate {
+	if fault.Immediate {
 		s += " at_once"
 	}
-	if f.ForNextLeader {
+	if fault.ForNextLeader {
 		s += " for_next"
 	}
-	if f.Delay > 0 {
-		s += fmt.Sprintf(" late=%.1fs", f.Delay.Seconds())
+	if fault.Delay > 0 {
+		s += fmt.Sprintf(" late=%.1fs", fault.Delay.Seconds())
 	}
-	return fmt.Sprintf("%s for %.0fs hold=%v", s, f.Duration.Seconds(), f.HoldMessages)
+	return fmt.Sprintf("%s for %.0fs hold=%v", s, fault.Duration.Seconds(), fault.HoldMessages)
 }
 
 // faultKinds are the kinds of the faults that the operators listed. Faults are drawn uniformly from
@@ -87,19 +87,19 @@
 
 // endsAt returns the end of a fault including its delayed effects, counted from the day's begin.
 // controllers is the number of controllers.
-func (f Fault) endsAt(controllers int) time.Duration {
-	end := f.At + f.Duration + f.RestartAfter
-	switch f.Kind {
+func (fault Fault) endsAt(controllers int) time.Duration {
+	end := fault.At + fault.Duration + fault.RestartAfter
+	switch fault.Kind {
 	case "crash", "crash_all":
-		end = f.At + 5*time.Second
+		end = fault.At + 5*time.Second
 	case "again_all":
-		end = f.At + f.Duration/2 + f.RestartAfter
+		end = fault.At + fault.Duration/2 + fault.RestartAfter
 	case "roll":
-		end = f.At + time.Duration(controllers)*15*time.Second + 5*time.Second
+		end = fault.At + time.Duration(controllers)*15*time.Second + 5*time.Second
 	case "copies":
-		end += f.Delay
+		end += fault.Delay
 	case "refused_outage":
-		end += f.Delay
+		end += fault.Delay
 	case "late_writes":
 		end += maxWriteDelay
 	case "late_commands":
@@ -107,7 +107,7 @@
 	case "loss", "twice":
 		end += maxRandomDelay
 	case "election":
-		end = f.At + 2*f.Delay + f.RestartAfter
+		end = fault.At + 2*fault.Delay + fault.RestartAfter
 	}
 	return end
 }
@@ -116,13 +116,13 @@
 // if the fault does not keep jobs from starting. Jobs can't start while the cloud has hardly any
 // machines, rented machines do not become ready in time, the state service can't record starts, or
 // no controller runs.
-func (f Fault) noCapacityUntil(controllers int) time.Duration {
-	switch f.Kind {
+func (fault Fault) noCapacityUntil(controllers int) time.Duration {
+	switch fault.Kind {
 	case "cloud", "capacity", "outage", "refused_outage", "crash_all", "again_all":
-		return f.endsAt(controllers)
+		return fault.endsAt(controllers)
 	case "boots":
-		if f.Fraction >= 1 {
-			return f.endsAt(controllers) + slowProvisioningGrace
+		if fault.Fraction >= 1 {
+			return fault.endsAt(controllers) + slowProvisioningGrace
 		}
 	}
 	return 0
@@ -130,80 +130,80 @@
 
 // noCapacityFrom returns the begin of the time during which a fault keeps jobs from starting; see
 // noCapacityUntil.
-func (f Fault) noCapacityFrom() time.Duration {
-	if f.Kind == "refused_outage" {
-		return f.At + f.Delay
+func (fault Fault) noCapacityFrom() time.Duration {
+	if fault.Kind == "refused_outage" {
+		return fault.At + fault.Delay
 	}
-	return f.At
+	return fault.At
 }
 
 // forSample calls fn with each machine that is up, with probability fraction.
-func (w *World) forSample(fraction float64, rng *rand.Rand, fn func(*Worker)) {
-	for _, m := range slices.Clone(w.fleet) {
-		if m.up(w.now) && rng.Float64() < fraction {
-			fn(m)
+func (world *World) forSample(fraction float64, rng *rand.Rand, fn func(*Worker)) {
+	for _, machine := range slices.Clone(world.fleet) {
+		if machine.up(world.now) && rng.Float64() < fraction {
+			fn(machine)
 		}
 	}
 }
 
 // startFault begins a fault.
-func (w *World) startFault(f Fault, rng *rand.Rand) {
-	if f.Busiest {
-		f.Controller = w.busiestController()
+func (world *World) startFault(fault Fault, rng *rand.Rand) {
+	if fault.Busiest {
+		fault.Controller = world.busiestController()
 	}
-	if w.startUnlistedFault(f, rng) || w.startProtocolFault(f, rng) || w.startExtraFault(f, rng) || w.startOverlapFault(f) {
+	if world.startUnlistedFault(fault, rng) || world.startProtocolFault(fault, rng) || world.startExtraFault(fault, rng) || world.startOverlapFault(fault) {
 		return
 	}
-	target := w.controllers[f.Controller%len(w.controllers)]
-	some := func(fn func(*Worker)) { w.forSample(f.Fraction, rng, fn) }
-	switch f.Kind {
+	target := world.controllers[fault.Controller%len(world.controllers)]
+	forSome := func(fn func(*Worker)) { world.forSample(fault.Fraction, rng, fn) }
+	switch fault.Kind {
 	case "crash":
-		w.CrashController(target.index, 5*time.Second)
+		world.CrashController(target.index, 5*time.Second)
 	case "crash_all":
-		for i := range w.controllers {
-			w.CrashController(i, 5*time.Second)
+		for i := range world.controllers {
+			world.CrashController(i, 5*time.Second)
 		}
 	case "roll":
-		for i := range w.controllers {
-			w.schedule(time.Duration(i)*15*time.Second, func() { w.CrashController(i, 5*time.Second) })
+		for i := range world.controllers {
+			world.schedule(time.Duration(i)*15*time.Second, func() { world.CrashController(i, 5*time.Second) })
 		}
 	case "cut":
-		if f.Link != "peers" {
-			w.Partition(target.name, f.Link, f.Duration, f.HoldMessages)
+		if fault.Link != "peers" {
+			world.Partition(target.name, fault.Link, fault.Duration, fault.HoldMessages)
 			break
 		}
-		for _, o := range w.controllers {
-			if o != target {
-				w.Partition(target.name, o.name, f.Duration, f.HoldMessages)
+		for _, other := range world.controllers {
+			if other != target {
+				world.Partition(target.name, other.name, fault.Duration, fault.HoldMessages)
 			}
 		}
 	case "refused":
-		w.refuseController(target, f.Duration)
+		world.refuseController(target, fault.Duration)
 	case "outage":
-		w.Outage(min(f.Duration, 30*time.Second))
+		world.Outage(min(fault.Duration, 30*time.Second))
 	case "slow_state":
-		w.stateSlowUntil, w.stateSlowFactor = w.now.Add(f.Duration), cmp.Or(f.SlowFactor, defaultSlowFactor)
+		world.stateSlowUntil, world.stateSlowFactor = world.now.Add(fault.Duration), cmp.Or(fault.SlowFactor, defaultSlowFactor)
 	case "cloud":
-		w.cloudOutage = true
-		w.schedule(f.Duration, func() { w.cloudOutage = false })
+		world.cloudOutage = true
+		world.schedule(fault.Duration, func() { world.cloudOutage = false })
 	case "still":
-		w.Pause(target.index, min(f.Duration, 40*time.Second))
+		world.Pause(target.index, min(fault.Duration, 40*time.Second))
 	case "die":
-		some(w.killMachine)
+		forSome(world.killMachine)
 	case "hang":
-		some(func(m *Worker) { m.hungUntil = w.now.Add(f.Duration) })
+		forSome(func(machine *Worker) { machine.hungUntil = world.now.Add(fault.Duration) })
 	case "machine_cut":
-		some(func(m *Worker) { w.Partition(m.ID, "*", f.Duration, f.HoldMessages) })
+		forSome(func(machine *Worker) { world.Partition(machine.ID, "*", fault.Duration, fault.HoldMessages) })
 	case "taken":
-		some(func(m *Worker) {
-			if m.Spot {
-				m.reclaimAt = w.now.Add(time.Duration(rng.IntN(25)) * time.Second)
+		forSome(func(machine *Worker) {
+			if machine.Spot {
+				machine.reclaimAt = world.now.Add(time.Duration(rng.IntN(25)) * time.Second)
 			}
 		})
 	}
 }
 
 // sortFaults sorts the faults by their begin; faults with the same begin keep their order.
-func (d *Day) sortFaults() {
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+func (day *Day) sortFaults() {
+	slices.SortStableFunc(day.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -16,35 +16,35 @@
 	heldMessages []func()
 }
 
-// Partition breaks the link between a and b for d. "*" as b means all other ends. With hold the
-// messages are delivered when the partition ends, otherwise they are lost.
-func (w *World) Partition(a, b string, d time.Duration, hold bool) {
+// Partition breaks the link between a and b for the given duration. "*" as b means all other ends.
+// With holdMessages the messages are delivered when the partition ends, otherwise they are lost.
+func (world *World) Partition(a, b string, duration time.Duration, holdMessages bool) {
 	key := a + "|" + b
-	c := &partition{holdMessages: hold}
-	w.partitions[key] = c
-	w.schedule(d, func() {
-		if w.partitions[key] == c {
-			delete(w.partitions, key)
+	link := &partition{holdMessages: holdMessages}
+	world.partitions[key] = link
+	world.schedule(duration, func() {
+		if world.partitions[key] == link {
+			delete(world.partitions, key)
 		}
-		for _, fn := range c.heldMessages {
+		for _, fn := range link.heldMessages {
 			fn()
 		}
 	})
 }
 
-// partitionOneWay drops the messages from a to b for d, but not those from b to a. "*" means all
-// ends.
-func (w *World) partitionOneWay(a, b string, d time.Duration) {
+// partitionOneWay drops the messages from a to b for the given duration, but not those from b to a.
+// "*" means all ends.
+func (world *World) partitionOneWay(a, b string, duration time.Duration) {
 	key := a + ">" + b
-	w.oneWayPartitions[key]++
-	w.schedule(d, func() { w.oneWayPartitions[key]-- })
+	world.oneWayPartitions[key]++
+	world.schedule(duration, func() { world.oneWayPartitions[key]-- })
 }
 
 // isPartitionedOneWay reports whether a one-way partition drops the messages from a to b.
-func (w *World) isPartitionedOneWay(a, b string) bool {
+func (world *World) isPartitionedOneWay(a, b string) bool {
 	for _, x := range [...]string{linkEnd(a), "*"} {
 		for _, y := range [...]string{linkEnd(b), "*"} {
-			if w.oneWayPartitions[x+">"+y] > 0 {
+			if world.oneWayPartitions[x+">"+y] > 0 {
 				return true
 			}
 		}
@@ -61,10 +61,10 @@
 }
 
 // partitionBetween returns the partition that breaks the link between a and b, or nil.
-func (w *World) partitionBetween(a, b string) *partition {
+func (world *World) partitionBetween(a, b string) *partition {
 	for _, k := range []string{a + "|" + b, b + "|" + a, a + "|*", b + "|*", a + "|" + linkEnd(b), b + "|" + linkEnd(a)} {
-		if c := w.partitions[k]; c != nil {
-			return c
+		if link := world.partitions[k]; link != nil {
+			return link
 		}
 	}
 	return nil
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -46,28 +46,28 @@
 // NewLive starts the servers of the state service and the cloud. controllers are the addresses that
 // workers send heartbeats to. The caller calls Stop to end all servers.
 func NewLive(settings controller.Settings, requestsPerSecond, writesPerSecond float64, types []model.MachineType, capacity map[string]int, controllers []string) *Live {
-	l := &Live{
+	live := &Live{
 		controllers: controllers, requestLimiter: rate.NewLimiter(rate.Limit(requestsPerSecond), int(requestsPerSecond)), writeLimiter: rate.NewLimiter(rate.Limit(writesPerSecond), int(writesPerSecond)),
 		machineServers: map[*Worker]*httptest.Server{}, heartbeatClients: map[*Worker]*http.Client{}, counts: newCounts(),
 	}
-	l.requests, l.cancelRequests = context.WithCancel(context.Background())
-	l.world = NewWorld(1, 0, settings, time.Minute, types, capacity)
-	l.world.heartbeatSender = l.postHeartbeat
-	l.world.onRented, l.world.onGone = l.openMachine, l.closeMachine
-	l.StateAddr = l.serve(http.HandlerFunc(l.serveState))
-	l.CloudAddr = l.serve(http.HandlerFunc(l.serveCloud))
-	return l
+	live.requests, live.cancelRequests = context.WithCancel(context.Background())
+	live.world = NewWorld(1, 0, settings, time.Minute, types, capacity)
+	live.world.heartbeatSender = live.postHeartbeat
+	live.world.onRented, live.world.onGone = live.openMachine, live.closeMachine
+	live.StateAddr = live.serve(http.HandlerFunc(live.serveState))
+	live.CloudAddr = live.serve(http.HandlerFunc(live.serveCloud))
+	return live
 }
 
 // serve starts a server and returns its host:port.
-func (l *Live) serve(h http.Handler) string {
-	s := httptest.NewServer(h)
-	l.servers = append(l.servers, s)
-	return strings.TrimPrefix(s.URL, "http://")
+func (live *Live) serve(handler http.Handler) string {
+	server := httptest.NewServer(handler)
+	live.servers = append(live.servers, server)
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
 // Run advances the machines in real time until ctx is done or Stop is called.
-func (l *Live) Run(ctx context.Context) {
+func (live *Live) Run(ctx context.Context) {
 	const step = 20 * time.Millisecond
 	t := time.NewTicker(step)
 	defer t.Stop()
@@ -77,92 +77,92 @@
 			return
 		case <-t.C:
 		}
-		l.mu.Lock()
-		if l.stopped {
-			l.mu.Unlock()
+		live.mu.Lock()
+		if live.stopped {
+			live.mu.Unlock()
 			return
 		}
-		l.world.now = time.Now()
-		if !l.storeUnavailable {
-			l.world.state.Expire(l.world.now)
+		live.world.now = time.Now()
+		if !live.storeUnavailable {
+			live.world.state.Expire(live.world.now)
 		}
-		l.world.advanceMachines(step)
-		l.world.checkCancellations()
-		l.mu.Unlock()
+		live.world.advanceMachines(step)
+		live.world.checkCancellations()
+		live.mu.Unlock()
 	}
 }
 
 // Stop closes the servers, cancels all requests, and returns when their goroutines have ended.
-func (l *Live) Stop() {
-	l.mu.Lock()
-	l.stopped = true
-	servers := append([]*httptest.Server{}, l.servers...)
-	for m, s := range l.machineServers {
-		servers = append(servers, s)
-		l.heartbeatClients[m].CloseIdleConnections()
+func (live *Live) Stop() {
+	live.mu.Lock()
+	live.stopped = true
+	servers := append([]*httptest.Server{}, live.servers...)
+	for machine, server := range live.machineServers {
+		servers = append(servers, server)
+		live.heartbeatClients[machine].CloseIdleConnections()
 	}
-	l.mu.Unlock()
-	l.cancelRequests()
-	for _, s := range servers {
-		s.CloseClientConnections()
-		s.Close()
+	live.mu.Unlock()
+	live.cancelRequests()
+	for _, server := range servers {
+		server.CloseClientConnections()
+		server.Close()
 	}
-	l.running.Wait()
+	live.running.Wait()
 }
 
 // SetStoreUnavailable makes the state service unavailable or available again. When the service
 // becomes available, every lease is renewed to its full TTL.
-func (l *Live) SetStoreUnavailable(unavailable bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.storeUnavailable = unavailable
+func (live *Live) SetStoreUnavailable(unavailable bool) {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	live.storeUnavailable = unavailable
 	if !unavailable {
-		l.world.state.RenewLeases(time.Now())
+		live.world.state.RenewLeases(time.Now())
 	}
 }
 
 // AddJob makes a job known to the workers. run is the run time of its tasks.
-func (l *Live) AddJob(spec model.JobSpec, run time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.world.jobs[spec.ID] = newUserJob(spec, run)
+func (live *Live) AddJob(spec model.JobSpec, run time.Duration) {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	live.world.jobs[spec.ID] = newUserJob(spec, run)
 }
 
 // SetJobSource makes workers get the specification and run time of unknown jobs from fn, which is
 // called with a job's id.
-func (l *Live) SetJobSource(fn func(id string) (model.JobSpec, time.Duration, bool)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.world.jobSource = fn
+func (live *Live) SetJobSource(fn func(id string) (model.JobSpec, time.Duration, bool)) {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	live.world.jobSource = fn
 }
 
 // SetCapacity sets the number of machines that can still be rented, for a key such as box/a/true;
 // see capacityKey.
-func (l *Live) SetCapacity(kind string, machines int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.world.cloudCapacity[kind] = machines
+func (live *Live) SetCapacity(kind string, machines int) {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	live.world.cloudCapacity[kind] = machines
 }
 
 // RunningTasks returns the names of the tasks that take resources of living machines, and the
 // number of task starts so far.
-func (l *Live) RunningTasks() (tasks []string, started int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, id := range sortedKeys(l.world.machines) {
-		m := l.world.machines[id]
-		for _, t := range m.tasks {
-			if t.onMachine() && !m.dead {
-				tasks = append(tasks, taskName(t.job.spec.ID, t.index))
+func (live *Live) RunningTasks() (tasks []string, started int) {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	for _, id := range sortedKeys(live.world.machines) {
+		machine := live.world.machines[id]
+		for _, task := range machine.tasks {
+			if task.onMachine() && !machine.dead {
+				tasks = append(tasks, taskName(task.job.spec.ID, task.index))
 			}
 		}
 	}
-	return tasks, l.world.Starts
+	return tasks, live.world.Starts
 }
 
 // Violations returns a copy of the rule violations found so far.
-func (l *Live) Violations() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]string(nil), l.world.Violations...)
+func (live *Live) Violations() []string {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	return append([]string(nil), live.world.Violations...)
 }
--- a/internal/simulation/live_counts.go
+++ b/internal/simulation/live_counts.go
@@ -46,24 +46,24 @@
 }
 
 // countRequest counts a request to the state service. refused means that a rate limit refused it.
-func (c *LiveCounts) countRequest(op *message.StoreRequest, refused bool) {
+func (counts *LiveCounts) countRequest(request *message.StoreRequest, refused bool) {
 	kind := map[message.StoreRequestKind]string{
 		message.OpGet: "get", message.OpList: "list", message.OpWatch: "follow", message.OpTxn: "multi",
 		message.OpLeaseGrant: "grant", message.OpLeaseRenew: "renew", message.OpLeaseRevoke: "drop",
-	}[op.Kind]
-	c.Requests[kind]++
+	}[request.Kind]
+	counts.Requests[kind]++
 	if refused {
-		c.RateLimited++
+		counts.RateLimited++
 		return
 	}
-	for _, a := range op.Writes {
+	for _, a := range request.Writes {
 		family, _, _ := strings.Cut(a.Key, "/")
-		c.Writes[family]++
+		counts.Writes[family]++
 	}
 }
 
-// Minus returns the difference to the earlier counters o, without map entries that are zero.
-func (c LiveCounts) Minus(o LiveCounts) LiveCounts {
+// Minus returns the difference to earlier counters, without map entries that are zero.
+func (counts LiveCounts) Minus(earlier LiveCounts) LiveCounts {
 	less := func(a, b map[string]int) map[string]int {
 		out := map[string]int{}
 		for k, v := range a {
@@ -73,81 +73,81 @@
 		}
 		return out
 	}
-	d := c
-	d.Heartbeats = map[int]int{}
-	for k, v := range c.Heartbeats {
-		if v -= o.Heartbeats[k]; v != 0 {
-			d.Heartbeats[k] = v
+	difference := counts
+	difference.Heartbeats = map[int]int{}
+	for k, v := range counts.Heartbeats {
+		if v -= earlier.Heartbeats[k]; v != 0 {
+			difference.Heartbeats[k] = v
 		}
 	}
-	d.Commands, d.Requests, d.Writes = less(c.Commands, o.Commands), less(c.Requests, o.Requests), less(c.Writes, o.Writes)
-	d.HeartbeatBytesOut, d.HeartbeatBytesIn = c.HeartbeatBytesOut-o.HeartbeatBytesOut, c.HeartbeatBytesIn-o.HeartbeatBytesIn
-	d.CommandBytesOut, d.CommandBytesIn = c.CommandBytesOut-o.CommandBytesOut, c.CommandBytesIn-o.CommandBytesIn
-	d.RateLimited, d.CloudCalls = c.RateLimited-o.RateLimited, c.CloudCalls-o.CloudCalls
-	d.Starts, d.LostToLease = c.Starts-o.Starts, c.LostToLease-o.LostToLease
-	return d
+	difference.Commands, difference.Requests, difference.Writes = less(counts.Commands, earlier.Commands), less(counts.Requests, earlier.Requests), less(counts.Writes, earlier.Writes)
+	difference.HeartbeatBytesOut, difference.HeartbeatBytesIn = counts.HeartbeatBytesOut-earlier.HeartbeatBytesOut, counts.HeartbeatBytesIn-earlier.HeartbeatBytesIn
+	difference.CommandBytesOut, difference.CommandBytesIn = counts.CommandBytesOut-earlier.CommandBytesOut, counts.CommandBytesIn-earlier.CommandBytesIn
+	difference.RateLimited, difference.CloudCalls = counts.RateLimited-earlier.RateLimited, counts.CloudCalls-earlier.CloudCalls
+	difference.Starts, difference.LostToLease = counts.Starts-earlier.Starts, counts.LostToLease-earlier.LostToLease
+	return difference
 }
 
 // Counts returns a copy of the current counters.
-func (l *Live) Counts() LiveCounts {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := l.counts.Minus(newCounts())
-	out.HeartbeatBytesOut, out.HeartbeatBytesIn = l.traffic.heartbeatsOut.Load(), l.traffic.heartbeatsIn.Load()
-	out.CommandBytesOut, out.CommandBytesIn = l.traffic.commandsOut.Load(), l.traffic.commandsIn.Load()
-	out.CloudCalls = l.world.CloudCalls.Done + l.world.CloudCalls.RefusedRequests
-	out.Starts, out.LostToLease = l.world.Starts, l.world.LostToLease
+func (live *Live) Counts() LiveCounts {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	out := live.counts.Minus(newCounts())
+	out.HeartbeatBytesOut, out.HeartbeatBytesIn = live.traffic.heartbeatsOut.Load(), live.traffic.heartbeatsIn.Load()
+	out.CommandBytesOut, out.CommandBytesIn = live.traffic.commandsOut.Load(), live.traffic.commandsIn.Load()
+	out.CloudCalls = live.world.CloudCalls.Done + live.world.CloudCalls.RefusedRequests
+	out.Starts, out.LostToLease = live.world.Starts, live.world.LostToLease
 	return out
 }
 
 // KillMachines ends up to the given number of running machines without notice, and returns how many
 // it ended.
-func (l *Live) KillMachines(machines int) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	lost := 0
-	for _, m := range l.world.fleet {
-		if lost < machines && m.up(l.world.now) {
-			l.world.killMachine(m)
-			lost++
+func (live *Live) KillMachines(machines int) int {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	killed := 0
+	for _, machine := range live.world.fleet {
+		if killed < machines && machine.up(live.world.now) {
+			live.world.killMachine(machine)
+			killed++
 		}
 	}
-	return lost
+	return killed
 }
 
 // Workers returns the number of machines that send heartbeats, of tasks that take resources of
 // machines, and of those tasks that belong to long-running jobs.
-func (l *Live) Workers() (up, tasks, standing int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, m := range l.world.fleet {
-		if m.up(l.world.now) && m.incarnation > 0 {
+func (live *Live) Workers() (up, tasks, longRunning int) {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	for _, machine := range live.world.fleet {
+		if machine.up(live.world.now) && machine.incarnation > 0 {
 			up++
 		}
-		for _, t := range m.tasks {
-			if !t.onMachine() {
+		for _, task := range machine.tasks {
+			if !task.onMachine() {
 				continue
 			}
 			tasks++
-			if t.job.spec.LongRunning {
-				standing++
+			if task.job.spec.LongRunning {
+				longRunning++
 			}
 		}
 	}
-	return up, tasks, standing
+	return up, tasks, longRunning
 }
 
 // FirstStart returns the time of a job's first task start, and whether a task of the job has
 // started.
-func (l *Live) FirstStart(id string) (time.Time, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	j := l.world.jobs[id]
-	if j == nil {
+func (live *Live) FirstStart(id string) (time.Time, bool) {
+	live.mu.Lock()
+	defer live.mu.Unlock()
+	job := live.world.jobs[id]
+	if job == nil {
 		return time.Time{}, false
 	}
 	var first time.Time
-	for _, at := range j.firstStarts {
+	for _, at := range job.firstStarts {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
@@ -162,16 +162,16 @@
 }
 
 // Read reads from the connection and counts the bytes.
-func (c meteredConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b)
-	c.in.Add(int64(n))
+func (conn meteredConn) Read(b []byte) (int, error) {
+	n, err := conn.Conn.Read(b)
+	conn.in.Add(int64(n))
 	return n, err
 }
 
 // Write writes to the connection and counts the bytes.
-func (c meteredConn) Write(b []byte) (int, error) {
-	n, err := c.Conn.Write(b)
-	c.out.Add(int64(n))
+func (conn meteredConn) Write(b []byte) (int, error) {
+	n, err := conn.Conn.Write(b)
+	conn.out.Add(int64(n))
 	return n, err
 }
 
@@ -182,26 +182,26 @@
 }
 
 // Accept accepts a connection that counts its bytes.
-func (l meteredListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+func (listener meteredListener) Accept() (net.Conn, error) {
+	conn, err := listener.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return meteredConn{c, l.in, l.out}, nil
+	return meteredConn{conn, listener.in, listener.out}, nil
 }
 
 // newHeartbeatClient returns the HTTP client for one worker's heartbeats. The client keeps one
 // connection, because a worker sends heartbeats to one controller at a time.
-func (l *Live) newHeartbeatClient() *http.Client {
-	var d net.Dialer
+func (live *Live) newHeartbeatClient() *http.Client {
+	var dialer net.Dialer
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConns: 1, MaxIdleConnsPerHost: 1, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			c, err := d.DialContext(ctx, network, addr)
+			conn, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return meteredConn{c, &l.traffic.heartbeatsIn, &l.traffic.heartbeatsOut}, nil
+			return meteredConn{conn, &live.traffic.heartbeatsIn, &live.traffic.heartbeatsOut}, nil
 		},
 	}}
 }
--- a/internal/simulation/live_state.go
+++ b/internal/simulation/live_state.go
@@ -11,113 +11,113 @@
 )
 
 // serveState handles HTTP requests to the state service.
-func (l *Live) serveState(rw http.ResponseWriter, r *http.Request) {
-	l.mu.Lock()
-	op, writes, err := decodeStoreRequest(r)
+func (live *Live) serveState(rw http.ResponseWriter, r *http.Request) {
+	live.mu.Lock()
+	request, writes, err := decodeStoreRequest(r)
 	out := make(chan message.StoreResponse, 1)
 	switch {
 	case err != nil:
-		l.mu.Unlock()
+		live.mu.Unlock()
 		writeReply(rw, http.StatusBadRequest, obj{"error": "malformed"})
 		return
-	case l.storeUnavailable && op.Kind != message.OpWatch:
-		l.mu.Unlock()
+	case live.storeUnavailable && request.Kind != message.OpWatch:
+		live.mu.Unlock()
 		writeReply(rw, http.StatusServiceUnavailable, obj{"error": "trouble"})
 		return
-	case !l.requestLimiter.Allow() || writes > 0 && !l.writeLimiter.AllowN(time.Now(), writes):
-		l.counts.countRequest(&op, true)
-		l.mu.Unlock()
+	case !live.requestLimiter.Allow() || writes > 0 && !live.writeLimiter.AllowN(time.Now(), writes):
+		live.counts.countRequest(&request, true)
+		live.mu.Unlock()
 		writeReply(rw, http.StatusTooManyRequests, obj{"error": "rate"})
 		return
 	}
-	l.counts.countRequest(&op, false)
-	l.world.state.Do(time.Now(), op, func(d message.StoreResponse) { out <- d })
-	l.mu.Unlock()
-	var d message.StoreResponse
+	live.counts.countRequest(&request, false)
+	live.world.state.Do(time.Now(), request, func(response message.StoreResponse) { out <- response })
+	live.mu.Unlock()
+	var response message.StoreResponse
 	select {
-	case d = <-out:
+	case response = <-out:
 	case <-r.Context().Done():
 		return
 	}
-	l.writeStoreResponse(rw, op, d)
+	live.writeStoreResponse(rw, request, response)
 }
 
 // errMalformedRequest is the error for requests to which the protocol requires the answer 400.
 var errMalformedRequest = errors.New("simulation: malformed request")
 
 // decodeStoreRequest decodes a request to the state service and returns the number of its writes.
-func decodeStoreRequest(r *http.Request) (op message.StoreRequest, writes int, err error) {
+func decodeStoreRequest(r *http.Request) (request message.StoreRequest, writes int, err error) {
 	malformed := false
-	q := r.URL.Query()
+	query := r.URL.Query()
 	path := r.URL.Path
 	switch {
 	case path == "/store":
-		op = message.StoreRequest{Kind: message.OpList, Key: q.Get("under"), StartAfter: q.Get("from")}
+		request = message.StoreRequest{Kind: message.OpList, Key: query.Get("under"), StartAfter: query.Get("from")}
 	case strings.HasPrefix(path, "/store/"):
-		op = message.StoreRequest{Kind: message.OpGet, Key: strings.TrimPrefix(path, "/store/")}
+		request = message.StoreRequest{Kind: message.OpGet, Key: strings.TrimPrefix(path, "/store/")}
 	case path == "/follow":
-		hold, _ := strconv.Atoi(q.Get("hold_ms"))
-		revision, err := strconv.ParseUint(q.Get("from"), 10, 64)
-		op = message.StoreRequest{Kind: message.OpWatch, Key: q.Get("under"), Revision: revision, WatchTimeout: time.Duration(hold) * time.Millisecond}
+		hold, _ := strconv.Atoi(query.Get("hold_ms"))
+		revision, err := strconv.ParseUint(query.Get("from"), 10, 64)
+		request = message.StoreRequest{Kind: message.OpWatch, Key: query.Get("under"), Revision: revision, WatchTimeout: time.Duration(hold) * time.Millisecond}
 		malformed = err != nil || hold > 60000
 	case path == "/grants":
 		ttl := toUint(readObject(r)["ttl_ms"])
-		op = message.StoreRequest{Kind: message.OpLeaseGrant, TTL: time.Duration(ttl) * time.Millisecond}
+		request = message.StoreRequest{Kind: message.OpLeaseGrant, TTL: time.Duration(ttl) * time.Millisecond}
 		malformed = ttl < 100 || ttl > 600000
 	case strings.HasSuffix(path, "/renew"):
-		op = message.StoreRequest{Kind: message.OpLeaseRenew, LeaseID: toUint(strings.Split(path, "/")[2])}
+		request = message.StoreRequest{Kind: message.OpLeaseRenew, LeaseID: toUint(strings.Split(path, "/")[2])}
 	case strings.HasPrefix(path, "/grants/"):
-		op = message.StoreRequest{Kind: message.OpLeaseRevoke, LeaseID: toUint(strings.Split(path, "/")[2])}
+		request = message.StoreRequest{Kind: message.OpLeaseRevoke, LeaseID: toUint(strings.Split(path, "/")[2])}
 	case path == "/multi":
-		op.Kind = message.OpTxn
-		o := readObject(r)
-		for _, c := range toList(o["when"]) {
-			m := c.(obj)
-			op.Compares = append(op.Compares, message.Compare{Key: toText(m["key"]), ModRevision: toUint(m["stamp"])})
+		request.Kind = message.OpTxn
+		object := readObject(r)
+		for _, item := range toList(object["when"]) {
+			entry := item.(obj)
+			request.Compares = append(request.Compares, message.Compare{Key: toText(entry["key"]), ModRevision: toUint(entry["stamp"])})
 		}
-		for _, c := range toList(o["apply"]) {
-			m := c.(obj)
+		for _, item := range toList(object["apply"]) {
+			entry := item.(obj)
 			writes++
-			if k := toText(m["remove"]); k != "" {
-				op.Writes = append(op.Writes, message.Write{Key: k})
+			if k := toText(entry["remove"]); k != "" {
+				request.Writes = append(request.Writes, message.Write{Key: k})
 				continue
 			}
-			_, isMap := m["value"].(obj)
-			op.Writes = append(op.Writes, message.Write{Key: toText(m["put"]), Value: encodeValue(m["value"]), LeaseID: toUint(m["permit"])})
-			malformed = malformed || toText(m["put"]) == "" || !isMap
+			_, isMap := entry["value"].(obj)
+			request.Writes = append(request.Writes, message.Write{Key: toText(entry["put"]), Value: encodeValue(entry["value"]), LeaseID: toUint(entry["permit"])})
+			malformed = malformed || toText(entry["put"]) == "" || !isMap
 		}
 	default:
 		malformed = true
 	}
 	if malformed {
-		return op, writes, errMalformedRequest
+		return request, writes, errMalformedRequest
 	}
-	return op, writes, nil
+	return request, writes, nil
 }
 
 // writeStoreResponse writes the state service's response to a request.
-func (l *Live) writeStoreResponse(rw http.ResponseWriter, op message.StoreRequest, d message.StoreResponse) {
+func (live *Live) writeStoreResponse(rw http.ResponseWriter, request message.StoreRequest, response message.StoreResponse) {
 	rows := func() []any {
 		out := []any{}
-		for _, kv := range d.KeyValues {
-			o := obj{"stamp": kv.ModRevision}
+		for _, kv := range response.KeyValues {
+			object := obj{"stamp": kv.ModRevision}
 			switch {
 			case kv.Deleted:
-				o["remove"] = kv.Key
-			case op.Kind == message.OpWatch:
-				o["put"], o["value"] = kv.Key, decodeValue(kv.Value)
+				object["remove"] = kv.Key
+			case request.Kind == message.OpWatch:
+				object["put"], object["value"] = kv.Key, decodeValue(kv.Value)
 			default:
-				o["key"], o["value"] = kv.Key, decodeValue(kv.Value)
+				object["key"], object["value"] = kv.Key, decodeValue(kv.Value)
 			}
-			out = append(out, o)
+			out = append(out, object)
 		}
 		return out
 	}
-	switch d.Status {
+	switch response.Status {
 	case message.StoreNotFound:
-		writeReply(rw, http.StatusNotFound, obj{"ledger_rev": d.Revision})
+		writeReply(rw, http.StatusNotFound, obj{"ledger_rev": response.Revision})
 	case message.StoreConflict:
-		writeReply(rw, http.StatusConflict, obj{"failed": d.FailedKeys, "ledger_rev": d.Revision})
+		writeReply(rw, http.StatusConflict, obj{"failed": response.FailedKeys, "ledger_rev": response.Revision})
 	case message.StoreCompacted:
 		writeReply(rw, http.StatusGone, obj{"error": "too old"})
 	case message.StoreNoLease:
@@ -127,18 +127,18 @@
 	case StoreRateLimited:
 		writeReply(rw, http.StatusTooManyRequests, obj{"error": "rate"})
 	default:
-		switch op.Kind {
+		switch request.Kind {
 		case message.OpGet:
-			kv := d.KeyValues[0]
+			kv := response.KeyValues[0]
 			writeReply(rw, http.StatusOK, obj{"key": kv.Key, "value": decodeValue(kv.Value), "stamp": kv.ModRevision})
 		case message.OpList:
-			writeReply(rw, http.StatusOK, obj{"rows": rows(), "truncated": d.Truncated, "ledger_rev": d.Revision})
+			writeReply(rw, http.StatusOK, obj{"rows": rows(), "truncated": response.Truncated, "ledger_rev": response.Revision})
 		case message.OpWatch:
-			writeReply(rw, http.StatusOK, obj{"news": rows(), "ledger_rev": d.Revision})
+			writeReply(rw, http.StatusOK, obj{"news": rows(), "ledger_rev": response.Revision})
 		case message.OpLeaseGrant:
-			writeReply(rw, http.StatusOK, obj{"permit": d.LeaseID})
+			writeReply(rw, http.StatusOK, obj{"permit": response.LeaseID})
 		default:
-			writeReply(rw, http.StatusOK, obj{"ledger_rev": d.Revision})
+			writeReply(rw, http.StatusOK, obj{"ledger_rev": response.Revision})
 		}
 	}
 }
--- a/internal/simulation/live_wire.go
+++ b/internal/simulation/live_wire.go
@@ -26,11 +26,11 @@
 // readObject reads the body of a request. It returns nil if the body is empty or no object.
 func readObject(r *http.Request) obj {
 	b, _ := io.ReadAll(r.Body)
-	var o obj
-	if len(b) > 0 && msgpack.Unmarshal(b, &o) != nil {
+	var object obj
+	if len(b) > 0 && msgpack.Unmarshal(b, &object) != nil {
 		return nil
 	}
-	return o
+	return object
 }
 
 // toUint converts a decoded number of any type, or a string of digits, to a uint64. It returns 0
--- a/internal/simulation/margins.go
+++ b/internal/simulation/margins.go
@@ -37,9 +37,9 @@
 
 // recordMargin records the time that was left before a violation of a rule, if it is the smallest
 // so far.
-func (w *World) recordMargin(rule string, left time.Duration, what string) {
-	if old, ok := w.margins[rule]; !ok || left < old.Remaining {
-		w.margins[rule] = Margin{left, fmt.Sprintf("%s at %.1fs", what, w.now.Sub(w.startedAt).Seconds())}
+func (world *World) recordMargin(rule string, left time.Duration, subject string) {
+	if old, ok := world.margins[rule]; !ok || left < old.Remaining {
+		world.margins[rule] = Margin{left, fmt.Sprintf("%s at %.1fs", subject, world.now.Sub(world.startedAt).Seconds())}
 	}
 }
 
@@ -58,46 +58,46 @@
 // A job waits while one of its tasks is neither done nor on a machine; each placement of a task
 // restarts the time. Jobs with anti-affinity and gangs are not checked, because free capacity on a
 // single machine is not enough for them.
-func (w *World) checkWaiting() {
-	if w.faultsEndAt.IsZero() || w.now.Before(w.faultsEndAt) || w.now.Before(w.nextWaitCheck) {
+func (world *World) checkWaiting() {
+	if world.faultsEndAt.IsZero() || world.now.Before(world.faultsEndAt) || world.now.Before(world.nextWaitCheck) {
 		return
 	}
-	w.nextWaitCheck = w.now.Add(waitCheckInterval)
-	free, used := w.resourceUse()
-	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
-		if !j.isWaiting() {
-			j.waitingSince = time.Time{}
+	world.nextWaitCheck = world.now.Add(waitCheckInterval)
+	free, used := world.resourceUse()
+	for _, id := range sortedKeys(world.jobs) {
+		job := world.jobs[id]
+		if !job.isWaiting() {
+			job.waitingSince = time.Time{}
 			continue
 		}
-		machine := w.machineWithCapacity(j, free, used)
+		machine := world.machineWithCapacity(job, free, used)
 		if machine == nil {
-			j.waitingSince = time.Time{}
+			job.waitingSince = time.Time{}
 			continue
 		}
-		from := j.waitingSince
+		from := job.waitingSince
 		if from.IsZero() {
-			from, j.waitingSince = w.now, w.now
+			from, job.waitingSince = world.now, world.now
 		}
-		if j.placedAt.After(from) {
-			from = j.placedAt
+		if job.placedAt.After(from) {
+			from = job.placedAt
 		}
-		left := maxWaiting - w.now.Sub(from)
-		w.recordMargin(RuleWaiting, left, id+" beside room on "+machine.ID)
-		if left < 0 && !j.waitReported {
-			j.waitReported = true
-			w.violate(RuleWaiting, "%s of %s has waited for %.0f s, now beside room on %s", id, j.spec.Team, w.now.Sub(from).Seconds(), machine.ID)
+		left := maxWaiting - world.now.Sub(from)
+		world.recordMargin(RuleWaiting, left, id+" beside room on "+machine.ID)
+		if left < 0 && !job.waitReported {
+			job.waitReported = true
+			world.violate(RuleWaiting, "%s of %s has waited for %.0f s, now beside room on %s", id, job.spec.Team, world.now.Sub(from).Seconds(), machine.ID)
 		}
 	}
 }
 
 // isWaiting reports whether a job that could run has a task that is neither done nor on a machine.
-func (j *userJob) isWaiting() bool {
-	if !j.accepted || j.isCancelled() || !j.dependenciesDone() || j.alwaysFails || isFinal(j.lastState) || j.spec.SpreadZones || j.spec.Gang {
+func (job *userJob) isWaiting() bool {
+	if !job.accepted || job.isCancelled() || !job.dependenciesDone() || job.alwaysFails || isFinal(job.lastState) || job.spec.SpreadZones || job.spec.Gang {
 		return false
 	}
-	for i := range j.spec.Tasks {
-		if !j.doneTasks[i] && !j.isPlaced(i) {
+	for i := range job.spec.Tasks {
+		if !job.doneTasks[i] && !job.isPlaced(i) {
 			return true
 		}
 	}
@@ -106,10 +106,10 @@
 
 // isPlaced reports whether task i has an active attempt on a machine, which may still fetch its
 // image.
-func (j *userJob) isPlaced(i int) bool {
-	for _, m := range j.machines[i] {
-		for _, t := range m.tasks {
-			if t.job == j && t.index == i && t.status != model.Ended {
+func (job *userJob) isPlaced(i int) bool {
+	for _, machine := range job.machines[i] {
+		for _, task := range machine.tasks {
+			if task.job == job && task.index == i && task.status != model.Ended {
 				return true
 			}
 		}
@@ -120,24 +120,24 @@
 // resourceUse returns the capacity that was free at all of the last capacitySamples checks on each
 // machine that can run tasks, and the resources that each team's tasks take, including tasks that
 // wait for their images.
-func (w *World) resourceUse() (map[*Worker]model.Resources, map[string]model.Resources) {
+func (world *World) resourceUse() (map[*Worker]model.Resources, map[string]model.Resources) {
 	free, used := map[*Worker]model.Resources{}, map[string]model.Resources{}
-	for _, m := range w.fleet {
-		left := m.Size
-		for _, t := range m.tasks {
-			if t.status != model.Ended {
-				left = left.AddScaled(t.job.spec.Need, -1)
-				used[t.job.spec.Team] = used[t.job.spec.Team].AddScaled(t.job.spec.Need, 1)
+	for _, machine := range world.fleet {
+		left := machine.Size
+		for _, task := range machine.tasks {
+			if task.status != model.Ended {
+				left = left.AddScaled(task.job.spec.Need, -1)
+				used[task.job.spec.Team] = used[task.job.spec.Team].AddScaled(task.job.spec.Need, 1)
 			}
 		}
-		if m.up(w.now) && m.incarnation > 0 && !m.ignoresStarts && !m.faulty && m.slowFactor == 0 && m.reclaimAt.IsZero() {
-			m.recentFree = append(m.recentFree, left)
-			m.recentFree = m.recentFree[max(0, len(m.recentFree)-capacitySamples):]
+		if machine.up(world.now) && machine.incarnation > 0 && !machine.ignoresStarts && !machine.faulty && machine.slowFactor == 0 && machine.reclaimAt.IsZero() {
+			machine.recentFree = append(machine.recentFree, left)
+			machine.recentFree = machine.recentFree[max(0, len(machine.recentFree)-capacitySamples):]
 		} else {
-			m.recentFree = nil
+			machine.recentFree = nil
 		}
-		if len(m.recentFree) == capacitySamples {
-			free[m] = minResources(m.recentFree)
+		if len(machine.recentFree) == capacitySamples {
+			free[machine] = minResources(machine.recentFree)
 		}
 	}
 	return free, used
@@ -146,19 +146,19 @@
 // machineWithCapacity returns a machine that a job may use and that has free capacity for one of
 // its tasks. It returns nil if there is no such machine or one more task would exceed the team's
 // quota limit.
-func (w *World) machineWithCapacity(j *userJob, free map[*Worker]model.Resources, used map[string]model.Resources) *Worker {
-	s := &j.spec
-	limit, takes := w.team(s.Team).QuotaLimit, used[s.Team].AddScaled(s.Need, 1)
-	if limit.CPU > 0 && takes.CPU > limit.CPU || limit.GPU > 0 && takes.GPU > limit.GPU {
+func (world *World) machineWithCapacity(job *userJob, free map[*Worker]model.Resources, used map[string]model.Resources) *Worker {
+	spec := &job.spec
+	limit, usage := world.team(spec.Team).QuotaLimit, used[spec.Team].AddScaled(spec.Need, 1)
+	if limit.CPU > 0 && usage.CPU > limit.CPU || limit.GPU > 0 && usage.GPU > limit.GPU {
 		return nil
 	}
-	zone := s.Zone
-	if s.SameZone {
-		w.eachRunningTask(j, func(_ *workerTask, m *Worker) { zone = m.Zone })
+	zone := spec.Zone
+	if spec.SameZone {
+		world.eachRunningTask(job, func(_ *workerTask, machine *Worker) { zone = machine.Zone })
 	}
-	for _, m := range w.fleet {
-		if left, there := free[m]; there && s.Need.Fits(left) && allowsMachine(s, m, zone) {
-			return m
+	for _, machine := range world.fleet {
+		if left, there := free[machine]; there && spec.Need.Fits(left) && allowsMachine(spec, machine, zone) {
+			return machine
 		}
 	}
 	return nil
@@ -166,12 +166,12 @@
 
 // allowsMachine reports whether a job may use a machine. A zone that is not empty restricts the job
 // to it.
-func allowsMachine(s *model.JobSpec, m *Worker, zone string) bool {
-	allowed := len(s.MachineTypes) == 0
-	for _, f := range s.MachineTypes {
-		allowed = allowed || f == m.MachineType
+func allowsMachine(spec *model.JobSpec, machine *Worker, zone string) bool {
+	allowed := len(spec.MachineTypes) == 0
+	for _, f := range spec.MachineTypes {
+		allowed = allowed || f == machine.MachineType
 	}
-	return allowed && (zone == "" || zone == m.Zone) && (s.AllowSpot || !m.Spot)
+	return allowed && (zone == "" || zone == machine.Zone) && (spec.AllowSpot || !machine.Spot)
 }
 
 // minResources returns the minimum of each resource.
--- a/internal/simulation/mixed_jobs.go
+++ b/internal/simulation/mixed_jobs.go
@@ -27,44 +27,44 @@
 }
 
 // newJobMix returns the job mix of a day, or nil if MixedJobs is not set.
-func newJobMix(d *Day) *jobMix {
-	if !d.MixedJobs {
+func newJobMix(day *Day) *jobMix {
+	if !day.MixedJobs {
 		return nil
 	}
-	return &jobMix{rand.New(rand.NewPCG(d.Seed, 819)), d.Settings.Zones}
+	return &jobMix{rand.New(rand.NewPCG(day.Seed, 819)), day.Settings.Zones}
 }
 
 // skewClocks draws the skew of each controller's clock.
-func (x *jobMix) skewClocks(w *World) {
-	if x == nil {
+func (mix *jobMix) skewClocks(world *World) {
+	if mix == nil {
 		return
 	}
-	for _, p := range w.controllers {
-		p.clockSkew = time.Duration((2*x.rng.Float64() - 1) * float64(maxClockSkew))
+	for _, process := range world.controllers {
+		process.clockSkew = time.Duration((2*mix.rng.Float64() - 1) * float64(maxClockSkew))
 	}
 }
 
 // varyJob draws a variant of a job: with checkpoints, with a placement constraint, long-running, or
 // unchanged.
-func (x *jobMix) varyJob(s *model.JobSpec) {
-	if x == nil {
+func (mix *jobMix) varyJob(spec *model.JobSpec) {
+	if mix == nil {
 		return
 	}
-	switch k := x.rng.IntN(12); {
+	switch k := mix.rng.IntN(12); {
 	case k < 3:
-		s.CheckpointInterval, s.CheckpointCost = 10*time.Second, time.Duration(1+x.rng.IntN(20))*time.Second
+		spec.CheckpointInterval, spec.CheckpointCost = 10*time.Second, time.Duration(1+mix.rng.IntN(20))*time.Second
 	case k < 5:
-		s.Zone = x.zones[x.rng.IntN(len(x.zones))]
+		spec.Zone = mix.zones[mix.rng.IntN(len(mix.zones))]
 	case k < 6:
-		s.SameZone = true
+		spec.SameZone = true
 	case k < 7:
-		s.SpreadZones = true
+		spec.SpreadZones = true
 	case k < 8:
-		s.LongRunning, s.Deadline, s.ExpectedRunTime = true, 0, 0
+		spec.LongRunning, spec.Deadline, spec.ExpectedRunTime = true, 0, 0
 	}
 }
 
 // serviceTime draws the time from the submission of a long-running job to its cancellation.
-func (x *jobMix) serviceTime() time.Duration {
-	return logUniform(x.rng, minServiceTime, maxServiceTime)
+func (mix *jobMix) serviceTime() time.Duration {
+	return logUniform(mix.rng, minServiceTime, maxServiceTime)
 }
--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -19,14 +19,14 @@
 const gpusPerMachine = 8
 
 // Validate returns an error if Enabled lists an unknown capability.
-func (p *DayParams) Validate() error {
-	_, err := p.capabilities()
+func (params *DayParams) Validate() error {
+	_, err := params.capabilities()
 	return err
 }
 
 // capabilities returns the enabled capabilities, with the values that the settings in deploy/ use.
-func (p *DayParams) capabilities() (out controller.Capabilities, err error) {
-	for _, s := range p.Enabled {
+func (params *DayParams) capabilities() (out controller.Capabilities, err error) {
+	for _, s := range params.Enabled {
 		all := s == "all"
 		switch s {
 		case "all", "ranking", "promises", "models":
@@ -66,52 +66,52 @@
 // of them are cancelled over time. From the middle of the day on large models are submitted, each
 // of which needs a whole machine. There are no more of them than machines that are empty if the
 // remaining models are packed as tightly as possible.
-func generateModels(d *Day) {
-	rng := rand.New(rand.NewPCG(d.Seed, 2718))
-	span := float64(d.Minutes) * float64(time.Minute)
-	d.Settings.Teams = slices.Clone(d.Settings.Teams)
-	part := func(from, to float64) time.Duration { return time.Duration(span * (from + (to-from)*rng.Float64())) }
+func generateModels(day *Day) {
+	rng := rand.New(rand.NewPCG(day.Seed, 2718))
+	span := float64(day.Minutes) * float64(time.Minute)
+	day.Settings.Teams = slices.Clone(day.Settings.Teams)
+	drawTime := func(from, to float64) time.Duration { return time.Duration(span * (from + (to-from)*rng.Float64())) }
 	remainingGPUs := 0
 	add := func(name string, gpus float64, replicas, names int, gb, cancelled float64, u model.Urgency, from, to float64) {
-		m := modelJob{submitAt: part(from, to), spec: model.JobSpec{
-			Workload: name, Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, LongRunning: true, Urgency: u, Tasks: replicas,
+		entry := modelJob{submitAt: drawTime(from, to), spec: model.JobSpec{
+			Workload: name, Team: day.Settings.Teams[rng.IntN(day.Teams)].Name, LongRunning: true, Urgency: u, Tasks: replicas,
 			Need: model.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 32 * gpus}, Image: fmt.Sprintf("%s-%d", name, rng.IntN(names)), ImageGB: gb,
 		}}
 		if rng.Float64() < cancelled {
-			m.cancelAt = m.submitAt + part(0.15, 0.75)
+			entry.cancelAt = entry.submitAt + drawTime(0.15, 0.75)
 		} else {
 			remainingGPUs += replicas * int(gpus)
 		}
-		for i := range d.Settings.Teams {
+		for i := range day.Settings.Teams {
 			// Raise the quota limit so that it allows the team's models in addition to its other
 			// jobs.
-			if t := &d.Settings.Teams[i]; t.Name == m.spec.Team && t.QuotaLimit.CPU > 0 {
-				t.QuotaLimit.CPU += m.spec.Need.CPU * float64(replicas)
+			if team := &day.Settings.Teams[i]; team.Name == entry.spec.Team && team.QuotaLimit.CPU > 0 {
+				team.QuotaLimit.CPU += entry.spec.Need.CPU * float64(replicas)
 			}
 		}
-		d.models = append(d.models, m)
+		day.models = append(day.models, entry)
 	}
-	for range int(float64(d.Models) * (2.5 + 1.5*rng.Float64())) {
+	for range int(float64(day.Models) * (2.5 + 1.5*rng.Float64())) {
 		add("model-small", 1, 1+rng.IntN(3), 6, 10, 0.75, model.Normal, 0, 0.1)
 	}
-	for range 1 + d.Models/3 {
+	for range 1 + day.Models/3 {
 		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, model.Normal, 0, 0.3)
 	}
 	// Keep one machine in reserve beside those that the remaining models need.
-	whole := d.Models - (remainingGPUs+gpusPerMachine-1)/gpusPerMachine - 1
-	for range max(0, min(whole, 1+d.Models*(3+rng.IntN(3))/10)) {
+	whole := day.Models - (remainingGPUs+gpusPerMachine-1)/gpusPerMachine - 1
+	for range max(0, min(whole, 1+day.Models*(3+rng.IntN(3))/10)) {
 		add("model-large", gpusPerMachine, 1, 3, 60, 0, model.Urgent, 0.5, 1)
 	}
 }
 
 // submitModels schedules the submissions and cancellations of the day's models.
-func (d *Day) submitModels(w *World) {
-	for _, m := range d.models {
-		s := m.spec
-		s.ID = w.nextJobID()
-		w.schedule(m.submitAt, func() { w.Submit(s, 0, false) })
-		if m.cancelAt > 0 {
-			w.schedule(m.cancelAt, func() { w.Cancel(s.ID) })
+func (day *Day) submitModels(world *World) {
+	for _, entry := range day.models {
+		spec := entry.spec
+		spec.ID = world.nextJobID()
+		world.schedule(entry.submitAt, func() { world.Submit(spec, 0, false) })
+		if entry.cancelAt > 0 {
+			world.schedule(entry.cancelAt, func() { world.Cancel(spec.ID) })
 		}
 	}
 }
@@ -128,26 +128,26 @@
 }
 
 // replicaUp records that a replica runs from now on; it ignores tasks of other jobs.
-func (w *World) replicaUp(t *workerTask) {
-	if !t.job.spec.LongRunning {
+func (world *World) replicaUp(task *workerTask) {
+	if !task.job.spec.LongRunning {
 		return
 	}
-	r := t.job.replicas[t.index]
-	if r == nil {
-		r = &replica{}
-		t.job.replicas[t.index] = r
+	history := task.job.replicas[task.index]
+	if history == nil {
+		history = &replica{}
+		task.job.replicas[task.index] = history
 	}
-	if r.stoppedByCommand {
-		r.downTimes = append(r.downTimes, w.now.Sub(r.downSince))
+	if history.stoppedByCommand {
+		history.downTimes = append(history.downTimes, world.now.Sub(history.downSince))
 	}
-	r.upSince, r.downSince, r.stoppedByCommand = w.now, time.Time{}, false
+	history.upSince, history.downSince, history.stoppedByCommand = world.now, time.Time{}, false
 }
 
 // replicaDown records that a replica does not run from now on; it ignores tasks of other jobs.
-func (w *World) replicaDown(t *workerTask) {
-	if r := t.job.replicas[t.index]; r != nil && r.downSince.IsZero() {
-		r.upTime += w.now.Sub(r.upSince)
-		r.downSince, r.stoppedByCommand = w.now, t.cause == "stopped"
+func (world *World) replicaDown(task *workerTask) {
+	if history := task.job.replicas[task.index]; history != nil && history.downSince.IsZero() {
+		history.upTime += world.now.Sub(history.upSince)
+		history.downSince, history.stoppedByCommand = world.now, task.cause == "stopped"
 	}
 }
 
@@ -183,75 +183,75 @@
 
 // modelSummary returns the outcome of the models that were not cancelled, and the GPU
 // fragmentation.
-func (w *World) modelSummary() *ModelSummary {
+func (world *World) modelSummary() *ModelSummary {
 	sums := modelSums{wait: newHistogram(), down: newHistogram()}
-	for _, id := range sortedKeys(w.jobs) {
-		if j := w.jobs[id]; j.spec.LongRunning && !j.cancelRequested {
-			sums.add(j, w.now)
+	for _, id := range sortedKeys(world.jobs) {
+		if job := world.jobs[id]; job.spec.LongRunning && !job.cancelRequested {
+			sums.add(job, world.now)
 		}
 	}
-	r := &sums.ModelSummary
+	summary := &sums.ModelSummary
 	if sums.wantedSeconds > 0 {
-		r.Up = sums.upSeconds / sums.wantedSeconds
+		summary.Up = sums.upSeconds / sums.wantedSeconds
 	}
-	r.Wait, r.Down = distributionOf(sums.wait), distributionOf(sums.down)
-	r.FragmentedGPUs = w.fragmentedGPUs()
-	return r
+	summary.Wait, summary.Down = distributionOf(sums.wait), distributionOf(sums.down)
+	summary.FragmentedGPUs = world.fragmentedGPUs()
+	return summary
 }
 
 // add counts a model in its state at now.
-func (s *modelSums) add(j *userJob, now time.Time) {
-	for _, x := range j.replicas {
-		downs := x.downTimes
-		if x.stoppedByCommand {
-			downs = append(slices.Clone(downs), now.Sub(x.downSince))
+func (sums *modelSums) add(job *userJob, now time.Time) {
+	for _, history := range job.replicas {
+		downs := history.downTimes
+		if history.stoppedByCommand {
+			downs = append(slices.Clone(downs), now.Sub(history.downSince))
 		}
-		for _, d := range downs {
-			s.Stopped++
-			recordMillis(s.down, d)
+		for _, duration := range downs {
+			sums.Stopped++
+			recordMillis(sums.down, duration)
 		}
 	}
-	if j.spec.Need.GPU < gpusPerMachine {
-		if !j.isServed() {
-			s.OthersUnstarted++
+	if job.spec.Need.GPU < gpusPerMachine {
+		if !job.isServed() {
+			sums.OthersUnstarted++
 		}
 		return
 	}
-	s.LargeModels++
-	if !j.isServed() {
-		recordMillis(s.wait, now.Sub(j.submitted))
-		s.wantedSeconds += now.Sub(j.submitted).Seconds()
+	sums.LargeModels++
+	if !job.isServed() {
+		recordMillis(sums.wait, now.Sub(job.submitted))
+		sums.wantedSeconds += now.Sub(job.submitted).Seconds()
 		return
 	}
 	started := time.Time{}
-	for _, at := range j.firstStarts {
+	for _, at := range job.firstStarts {
 		if at.After(started) {
 			started = at
 		}
 	}
-	s.LargeStarted++
-	recordMillis(s.wait, started.Sub(j.submitted))
-	s.wantedSeconds += now.Sub(started).Seconds() * float64(j.spec.Tasks)
-	for _, x := range j.replicas {
-		s.upSeconds += x.upTime.Seconds()
-		if x.downSince.IsZero() {
-			s.upSeconds += now.Sub(x.upSince).Seconds()
+	sums.LargeStarted++
+	recordMillis(sums.wait, started.Sub(job.submitted))
+	sums.wantedSeconds += now.Sub(started).Seconds() * float64(job.spec.Tasks)
+	for _, history := range job.replicas {
+		sums.upSeconds += history.upTime.Seconds()
+		if history.downSince.IsZero() {
+			sums.upSeconds += now.Sub(history.upSince).Seconds()
 		}
 	}
 }
 
 // fragmentedGPUs counts the free GPUs of machines of which other GPUs are in use.
-func (w *World) fragmentedGPUs() int {
+func (world *World) fragmentedGPUs() int {
 	free := 0
-	for _, m := range w.fleet {
+	for _, machine := range world.fleet {
 		used := 0.0
-		for _, t := range m.tasks {
-			if t.status != model.Ended {
-				used += t.job.spec.Need.GPU
+		for _, task := range machine.tasks {
+			if task.status != model.Ended {
+				used += task.job.spec.Need.GPU
 			}
 		}
-		if m.up(w.now) && used > 0 {
-			free += int(m.Size.GPU - used)
+		if machine.up(world.now) && used > 0 {
+			free += int(machine.Size.GPU - used)
 		}
 	}
 	return free
--- a/internal/simulation/overlaps.go
+++ b/internal/simulation/overlaps.go
@@ -56,17 +56,17 @@
 }
 
 // String describes the mass cancellation for reports of days.
-func (c *MassCancel) String() string {
-	return fmt.Sprintf("%.0fs %.0f%% of %s are cancelled within %.0fs", c.At.Seconds(), 100*c.Fraction, c.Workload, c.Duration.Seconds())
+func (cancels *MassCancel) String() string {
+	return fmt.Sprintf("%.0fs %.0f%% of %s are cancelled within %.0fs", cancels.At.Seconds(), 100*cancels.Fraction, cancels.Workload, cancels.Duration.Seconds())
 }
 
 // cancelTime draws the time at which a job is cancelled, and whether it is cancelled. at is the
 // time of the job's submission.
-func (c *MassCancel) cancelTime(class string, at time.Duration, rng *rand.Rand) (time.Duration, bool) {
-	if c == nil || class != c.Workload || rng.Float64() >= c.Fraction {
+func (cancels *MassCancel) cancelTime(class string, at time.Duration, rng *rand.Rand) (time.Duration, bool) {
+	if cancels == nil || class != cancels.Workload || rng.Float64() >= cancels.Fraction {
 		return 0, false
 	}
-	t := c.At + time.Duration(rng.Float64()*float64(c.Duration))
+	t := cancels.At + time.Duration(rng.Float64()*float64(cancels.Duration))
 	return t, t > at
 }
 
@@ -76,12 +76,12 @@
 
 // extraCountTime returns the time by which served jobs are counted later than on other days, so
 // that long tasks and pipelines that were submitted last can complete.
-func (d *Day) extraCountTime() time.Duration {
+func (day *Day) extraCountTime() time.Duration {
 	long := time.Duration(0)
-	if d.OverlappingFaults {
+	if day.OverlappingFaults {
 		long = longTaskRunTime
 	}
-	if d.Pipelines {
+	if day.Pipelines {
 		long = max(long, pipelineExtraTime)
 	}
 	return long
@@ -100,33 +100,33 @@
 // submitLongJobs schedules small jobs of long tasks, one for every two machines, in the minute
 // before the mass cancellation. They make sure that many tasks have to be stopped while the faults
 // overlap.
-func (d *Day) submitLongJobs(w *World) {
-	if d.Cancels == nil {
+func (day *Day) submitLongJobs(world *World) {
+	if day.Cancels == nil {
 		return
 	}
-	rng := rand.New(rand.NewPCG(d.Seed, 818))
+	rng := rand.New(rand.NewPCG(day.Seed, 818))
 	const before = time.Minute
-	for range d.Machines / 2 {
-		id := w.nextJobID()
-		at := max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(before)))
+	for range day.Machines / 2 {
+		id := world.nextJobID()
+		at := max(0, day.Cancels.At-time.Duration(rng.Float64()*float64(before)))
 		run := time.Duration(float64(longTaskRunTime) * (0.75 + rng.Float64()/2))
 		spec := model.JobSpec{
-			ID: id, Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: model.Normal,
+			ID: id, Workload: "import", Team: day.Settings.Teams[rng.IntN(day.Teams)].Name, Urgency: model.Normal,
 			Tasks: 1 + rng.IntN(3), Need: model.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: longTaskRunTime,
 		}
-		w.schedule(at, func() { w.Submit(spec, run, false) })
-		if t, ok := d.Cancels.cancelTime(spec.Workload, at, rng); ok {
-			w.schedule(t, func() { w.Cancel(spec.ID) })
+		world.schedule(at, func() { world.Submit(spec, run, false) })
+		if t, ok := day.Cancels.cancelTime(spec.Workload, at, rng); ok {
+			world.schedule(t, func() { world.Cancel(spec.ID) })
 		}
 	}
 }
 
 // generateOverlap draws two or three faults that overlap and the mass cancellation around them. It
 // has its own random stream, so that the rest of the day stays the same.
-func generateOverlap(d *Day) {
-	rng := rand.New(rand.NewPCG(d.Seed, 3141))
-	d.workloads = withLongTasks(d.workloads)
-	at := time.Duration(45+rng.IntN(max(1, d.Minutes*60/2))) * time.Second
+func generateOverlap(day *Day) {
+	rng := rand.New(rand.NewPCG(day.Seed, 3141))
+	day.workloads = withLongTasks(day.workloads)
+	at := time.Duration(45+rng.IntN(max(1, day.Minutes*60/2))) * time.Second
 	cancels := MassCancel{
 		Workload: []string{"import", "import", "import", "batch", "rush", "wide"}[rng.IntN(6)], Fraction: []float64{0.8, 0.8, 1}[rng.IntN(3)],
 		At: at - 5*time.Second + time.Duration(rng.IntN(10))*time.Second, Duration: time.Duration(5+rng.IntN(30)) * time.Second,
@@ -134,94 +134,94 @@
 	var overlapping []Fault
 	longest := time.Duration(0)
 	for range 2 + rng.IntN(2) {
-		f := d.generateFault(rng)
-		f.At = at
+		fault := day.generateFault(rng)
+		fault.At = at
 		if len(overlapping) > 0 {
-			f.At += time.Duration(rng.Float64() * float64(min(maxFaultSpacing, longest)))
+			fault.At += time.Duration(rng.Float64() * float64(min(maxFaultSpacing, longest)))
 		}
-		longest = max(longest, f.endsAt(d.Controllers)-f.At)
-		if f.Kind == "refused_outage" {
+		longest = max(longest, fault.endsAt(day.Controllers)-fault.At)
+		if fault.Kind == "refused_outage" {
 			// Most of the jobs are cancelled while another controller can still confirm the
 			// cancellation.
-			cancels.At, cancels.Duration = f.At, f.Delay+2*time.Second
+			cancels.At, cancels.Duration = fault.At, fault.Delay+2*time.Second
 		}
-		overlapping = append(overlapping, f)
+		overlapping = append(overlapping, fault)
 	}
-	d.Cancels = &cancels
-	d.Faults = append(d.Faults, overlapping...)
+	day.Cancels = &cancels
+	day.Faults = append(day.Faults, overlapping...)
 	if rng.IntN(3) == 0 {
-		d.Faults = append(d.Faults, Fault{Kind: "crash_all", At: d.lastFaultEnd() + crashAfterOverlap, Duration: 5 * time.Second})
+		day.Faults = append(day.Faults, Fault{Kind: "crash_all", At: day.lastFaultEnd() + crashAfterOverlap, Duration: 5 * time.Second})
 	}
-	d.addExtraFault(overlapping)
-	d.sortFaults()
+	day.addExtraFault(overlapping)
+	day.sortFaults()
 }
 
 // addExtraFault adds a fault of extra_faults.go to one day in three. It has its own random stream,
 // so that the rest of the day stays the same.
-func (d *Day) addExtraFault(overlapping []Fault) {
-	rng := rand.New(rand.NewPCG(d.Seed, 5772))
+func (day *Day) addExtraFault(overlapping []Fault) {
+	rng := rand.New(rand.NewPCG(day.Seed, 5772))
 	if rng.IntN(3) > 0 {
 		return
 	}
-	f := d.generateExtraFault(rng)
-	f.At = overlapping[0].At + time.Duration(rng.Float64()*float64(maxFaultSpacing))
-	d.Faults = append(d.Faults, f)
+	fault := day.generateExtraFault(rng)
+	fault.At = overlapping[0].At + time.Duration(rng.Float64()*float64(maxFaultSpacing))
+	day.Faults = append(day.Faults, fault)
 }
 
 // generateFault draws a fault of overlapFaultKinds. The caller sets At.
-func (d *Day) generateFault(rng *rand.Rand) Fault {
-	oneOf := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
-	cancel := d.cancelWithin()
-	f := Fault{
+func (day *Day) generateFault(rng *rand.Rand) Fault {
+	oneOf := func(values ...float64) float64 { return values[rng.IntN(len(values))] }
+	cancel := day.cancelWithin()
+	fault := Fault{
 		Kind: overlapFaultKinds[rng.IntN(len(overlapFaultKinds))], Duration: logUniform(rng, 8*time.Second, 90*time.Second),
-		Controller: rng.IntN(d.Controllers), Busiest: rng.IntN(3) > 0, HoldMessages: rng.IntN(2) == 0,
+		Controller: rng.IntN(day.Controllers), Busiest: rng.IntN(3) > 0, HoldMessages: rng.IntN(2) == 0,
 	}
 	restartAfter := []time.Duration{50, 200, 500, 1000}[rng.IntN(4)] * time.Millisecond
-	switch f.Kind {
+	switch fault.Kind {
 	case "crash", "crash_all", "roll":
-		f.Duration = 5 * time.Second
+		fault.Duration = 5 * time.Second
 	case "cut":
-		f.Link = []string{"state", "workers", "*", "peers", "cloud"}[rng.IntN(5)]
+		fault.Link = []string{"state", "workers", "*", "peers", "cloud"}[rng.IntN(5)]
 	case "one_way":
-		f.Link = []string{"state", "workers", "*", "user"}[rng.IntN(4)]
+		fault.Link = []string{"state", "workers", "*", "user"}[rng.IntN(4)]
 	case "die", "hang", "machine_cut", "taken", "lazy", "capacity", "faulty":
-		f.Fraction = oneOf(0.02, 0.1, 0.3)
+		fault.Fraction = oneOf(0.02, 0.1, 0.3)
 	case "slow_state":
-		f.SlowFactor = 15 + 10*rng.Float64()
+		fault.SlowFactor = 15 + 10*rng.Float64()
 	case "boots":
-		f.Fraction = oneOf(0.05, 1, 4, 8)
+		fault.Fraction = oneOf(0.05, 1, 4, 8)
 	case "polls":
-		f.Fraction = oneOf(4, 8, 30)
+		fault.Fraction = oneOf(4, 8, 30)
 	case "again", "again_all":
-		f.RestartAfter = restartAfter
+		fault.RestartAfter = restartAfter
 	case "deaf_machine":
 		// One machine, a tenth of them, or a whole zone.
-		f.Duration, f.Fraction = logUniform(rng, 8*time.Second, 5*time.Minute), oneOf(1e-9, 0.1, 1)
-		if f.Fraction == 1 {
-			f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
+		fault.Duration, fault.Fraction = logUniform(rng, 8*time.Second, 5*time.Minute), oneOf(1e-9, 0.1, 1)
+		if fault.Fraction == 1 {
+			fault.Zone = day.Settings.Zones[len(day.Settings.Zones)-1]
 		}
 	case "copies":
-		f.Delay, f.Fraction = logUniform(rng, 2*time.Second, 5*d.Settings.WorkerLease), oneOf(0.05, 0.3, 1)
+		fault.Delay, fault.Fraction = logUniform(rng, 2*time.Second, 5*day.Settings.WorkerLease), oneOf(0.05, 0.3, 1)
 	case "cut_alone":
-		f.Link = []string{"", "", "refused"}[rng.IntN(3)]
+		fault.Link = []string{"", "", "refused"}[rng.IntN(3)]
 	case "election":
-		f.Delay, f.RestartAfter = logUniform(rng, 5*time.Millisecond, 5*time.Second), restartAfter
+		fault.Delay, fault.RestartAfter = logUniform(rng, 5*time.Millisecond, 5*time.Second), restartAfter
 	case "back_machine":
-		f.Fraction, f.RestartAfter = oneOf(1e-9, 0.1, 0.3), restartAfter
+		fault.Fraction, fault.RestartAfter = oneOf(1e-9, 0.1, 0.3), restartAfter
 	case "loss", "twice":
-		f.Fraction = oneOf(0.01, 0.05, 0.2)
+		fault.Fraction = oneOf(0.01, 0.05, 0.2)
 	case "late_writes":
-		f.Fraction = oneOf(0.05, 0.2, 0.5)
+		fault.Fraction = oneOf(0.05, 0.2, 0.5)
 	case "refused_outage":
-		f.Delay, f.Duration = logUniform(rng, time.Second, 12*time.Second), logUniform(rng, cancel, 3*cancel)
+		fault.Delay, fault.Duration = logUniform(rng, time.Second, 12*time.Second), logUniform(rng, cancel, 3*cancel)
 	}
-	return f
+	return fault
 }
 
 // cancelWithin returns cancel_s, the time within which the tasks of a cancelled job must have
 // ended.
-func (d *Day) cancelWithin() time.Duration {
-	return d.Settings.WorkerLease + time.Duration(cmp.Or(d.CancelMarginS, defaultCancelMarginS))*time.Second
+func (day *Day) cancelWithin() time.Duration {
+	return day.Settings.WorkerLease + time.Duration(cmp.Or(day.CancelMarginS, defaultCancelMarginS))*time.Second
 }
 
 // defaultCancelMarginS is the number of seconds by which cancel_s exceeds the worker lease. All
@@ -229,60 +229,61 @@
 const defaultCancelMarginS = 30
 
 // startOverlapFault begins a fault if its kind belongs to this file, and reports whether it does.
-func (w *World) startOverlapFault(f Fault) bool {
-	switch f.Kind {
+func (world *World) startOverlapFault(fault Fault) bool {
+	switch fault.Kind {
 	case "late_writes":
-		w.DelayWrites(f.Fraction, f.Duration)
-		w.loseWriteResponses = f.Immediate
+		world.DelayWrites(fault.Fraction, fault.Duration)
+		world.loseWriteResponses = fault.Immediate
 	case "refused_outage":
-		w.refuseController(w.controllers[f.Controller%len(w.controllers)], f.Delay+min(refusedAfterOutage, f.Duration))
-		w.schedule(f.Delay, func() { w.Outage(f.Duration) })
+		world.refuseController(world.controllers[fault.Controller%len(world.controllers)], fault.Delay+min(refusedAfterOutage, fault.Duration))
+		world.schedule(fault.Delay, func() { world.Outage(fault.Duration) })
 	case "loss":
-		w.lossRate = f.Fraction
-		w.schedule(f.Duration, func() { w.lossRate = 0 })
+		world.lossRate = fault.Fraction
+		world.schedule(fault.Duration, func() { world.lossRate = 0 })
 	case "twice":
-		w.duplicateRate = f.Fraction
-		w.schedule(f.Duration, func() { w.duplicateRate = 0 })
+		world.duplicateRate = fault.Fraction
+		world.schedule(fault.Duration, func() { world.duplicateRate = 0 })
 	default:
 		return false
 	}
 	return true
 }
 
-// DelayWrites makes a fraction of the transactions of the next d get no answer. The state service
-// executes them some seconds later, possibly after newer ones, or at once with loseWriteResponses.
-func (w *World) DelayWrites(fraction float64, d time.Duration) {
-	w.lateWriteRate, w.lateWritesUntil = fraction, w.now.Add(d)
+// DelayWrites makes a fraction of the transactions that are sent during the given duration get no
+// answer. The state service executes them some seconds later, possibly after newer ones, or at once
+// with loseWriteResponses.
+func (world *World) DelayWrites(fraction float64, duration time.Duration) {
+	world.lateWriteRate, world.lateWritesUntil = fraction, world.now.Add(duration)
 }
 
 // delayWrite decides whether a transaction gets no answer, and returns the delay of its execution
 // and the decision.
-func (w *World) delayWrite(e message.StoreRequest) (time.Duration, bool) {
-	if e.Kind != message.OpTxn || !w.now.Before(w.lateWritesUntil) || w.rng.Float64() >= w.lateWriteRate {
+func (world *World) delayWrite(request message.StoreRequest) (time.Duration, bool) {
+	if request.Kind != message.OpTxn || !world.now.Before(world.lateWritesUntil) || world.rng.Float64() >= world.lateWriteRate {
 		return 0, false
 	}
-	if w.loseWriteResponses {
+	if world.loseWriteResponses {
 		return 0, true
 	}
-	return minWriteDelay + time.Duration(w.rng.Int64N(int64(maxWriteDelay-minWriteDelay))), true
+	return minWriteDelay + time.Duration(world.rng.Int64N(int64(maxWriteDelay-minWriteDelay))), true
 }
 
-// refuseController makes the state service refuse the requests of one controller for d. Refusals
-// may overlap.
-func (w *World) refuseController(p *controllerProcess, d time.Duration) {
-	p.stateRefused = true
-	if until := w.now.Add(d); until.After(p.refusedUntil) {
-		p.refusedUntil = until
+// refuseController makes the state service refuse the requests of one controller for the given
+// duration. Refusals may overlap.
+func (world *World) refuseController(process *controllerProcess, duration time.Duration) {
+	process.stateRefused = true
+	if until := world.now.Add(duration); until.After(process.refusedUntil) {
+		process.refusedUntil = until
 	}
-	w.schedule(d, func() { p.stateRefused = w.now.Before(p.refusedUntil) })
+	world.schedule(duration, func() { process.stateRefused = world.now.Before(process.refusedUntil) })
 }
 
 // busiestController returns the index of the controller that most machines send heartbeats to.
-func (w *World) busiestController() int {
-	reporting := make([]int, len(w.controllers))
-	for _, m := range w.fleet {
-		if m.up(w.now) {
-			reporting[m.controller]++
+func (world *World) busiestController() int {
+	reporting := make([]int, len(world.controllers))
+	for _, machine := range world.fleet {
+		if machine.up(world.now) {
+			reporting[machine.controller]++
 		}
 	}
 	best := 0
@@ -297,16 +298,16 @@
 // stickyController returns the index of the controller to which a job's user sends all queries once
 // all faults are over, on days with overlapping faults. It returns -1 if the user queries random
 // controllers, or if that controller is not healthy.
-func (w *World) stickyController(j *userJob) int {
-	if !w.stickyUsers || w.now.Before(w.faultsEndAt) {
+func (world *World) stickyController(job *userJob) int {
+	if !world.stickyUsers || world.now.Before(world.faultsEndAt) {
 		return -1
 	}
 	var n int
-	if _, err := fmt.Sscan(strings.TrimLeft(strings.TrimPrefix(j.spec.ID, "job-"), "0"), &n); err != nil || n%stickyUserOneIn != 0 {
+	if _, err := fmt.Sscan(strings.TrimLeft(strings.TrimPrefix(job.spec.ID, "job-"), "0"), &n); err != nil || n%stickyUserOneIn != 0 {
 		return -1
 	}
-	i := n / stickyUserOneIn % len(w.controllers)
-	if p := w.controllers[i]; !p.alive || !p.controller.Healthy(w.now) {
+	i := n / stickyUserOneIn % len(world.controllers)
+	if process := world.controllers[i]; !process.alive || !process.controller.Healthy(world.now) {
 		return -1
 	}
 	return i
--- a/internal/simulation/partial_faults.go
+++ b/internal/simulation/partial_faults.go
@@ -11,23 +11,23 @@
 // This file has partial failures: machines that can send but not receive messages, heartbeats that
 // arrive a second time much later, and processes that restart within a fraction of a second.
 
-// MakeUnreachable keeps all messages to machines, answers as well as commands, from arriving for d.
-// Messages from the machines still arrive. With holdMessages the messages to the machines are
-// delivered afterwards, otherwise they are lost.
-func (w *World) MakeUnreachable(ids []string, d time.Duration, holdMessages bool) {
+// MakeUnreachable keeps all messages to machines, answers as well as commands, from arriving for
+// the given duration. Messages from the machines still arrive. With holdMessages the messages to
+// the machines are delivered afterwards, otherwise they are lost.
+func (world *World) MakeUnreachable(ids []string, duration time.Duration, holdMessages bool) {
 	for _, id := range ids {
-		if m := w.machines[id]; m != nil {
-			m.unreachableUntil, m.holdWhileUnreachable = w.now.Add(d), holdMessages
+		if machine := world.machines[id]; machine != nil {
+			machine.unreachableUntil, machine.holdWhileUnreachable = world.now.Add(duration), holdMessages
 		}
 	}
 }
 
 // SampleMachineIDs draws a fraction of the machines that are up, at least one if there is any. A
 // zone that is not empty restricts the draw to its machines.
-func (w *World) SampleMachineIDs(fraction float64, zone string, rng *rand.Rand) []string {
+func (world *World) SampleMachineIDs(fraction float64, zone string, rng *rand.Rand) []string {
 	var ids []string
-	for _, id := range sortedKeys(w.machines) {
-		if m := w.machines[id]; m.up(w.now) && (zone == "" || m.Zone == zone) {
+	for _, id := range sortedKeys(world.machines) {
+		if machine := world.machines[id]; machine.up(world.now) && (zone == "" || machine.Zone == zone) {
 			ids = append(ids, id)
 		}
 	}
@@ -35,123 +35,124 @@
 	return ids[:min(len(ids), max(1, int(fraction*float64(len(ids)))))]
 }
 
-// CopyHeartbeats makes a fraction of the heartbeats of the next d arrive a second time at a random
-// controller, with a delay between a second and longest. The answers to the copies are dropped.
-func (w *World) CopyHeartbeats(fraction float64, longest, d time.Duration) {
-	w.heartbeatCopyRate, w.heartbeatCopyMaxDelay, w.heartbeatCopiesUntil = fraction, longest, w.now.Add(d)
-	w.replayToNextLeader = false
+// CopyHeartbeats makes a fraction of the heartbeats that are sent during the given duration arrive
+// a second time at a random controller, with a delay between a second and longest. The answers to
+// the copies are dropped.
+func (world *World) CopyHeartbeats(fraction float64, longest, duration time.Duration) {
+	world.heartbeatCopyRate, world.heartbeatCopyMaxDelay, world.heartbeatCopiesUntil = fraction, longest, world.now.Add(duration)
+	world.replayToNextLeader = false
 }
 
 // copyHeartbeat schedules or keeps a copy of a heartbeat if the fault of CopyHeartbeats is active
 // and selects the heartbeat.
-func (w *World) copyHeartbeat(r model.Heartbeat) {
-	if !w.now.Before(w.heartbeatCopiesUntil) || w.rng.Float64() >= w.heartbeatCopyRate {
+func (world *World) copyHeartbeat(heartbeat model.Heartbeat) {
+	if !world.now.Before(world.heartbeatCopiesUntil) || world.rng.Float64() >= world.heartbeatCopyRate {
 		return
 	}
-	if w.replayToNextLeader {
-		w.holdHeartbeat(r)
+	if world.replayToNextLeader {
+		world.holdHeartbeat(heartbeat)
 		return
 	}
-	d := time.Second + time.Duration(w.rng.Int64N(int64(max(w.heartbeatCopyMaxDelay, 2*time.Second)-time.Second)))
-	p := w.controllers[w.rng.IntN(len(w.controllers))]
-	w.schedule(d, func() {
-		p.deliverHeartbeat(r, func(message.Effect) {})
+	delay := time.Second + time.Duration(world.rng.Int64N(int64(max(world.heartbeatCopyMaxDelay, 2*time.Second)-time.Second)))
+	process := world.controllers[world.rng.IntN(len(world.controllers))]
+	world.schedule(delay, func() {
+		process.deliverHeartbeat(heartbeat, func(message.Effect) {})
 	})
 }
 
-// holdIfUnreachable reports whether MakeUnreachable keeps a message to m from arriving. If the
-// fault holds messages, holdIfUnreachable schedules the delivery for the end of the fault. m is nil
-// if the receiver is no machine.
-func (w *World) holdIfUnreachable(m *Worker, deliver func()) bool {
-	if m == nil || !w.now.Before(m.unreachableUntil) {
+// holdIfUnreachable reports whether MakeUnreachable keeps a message to machine from arriving. If
+// the fault holds messages, holdIfUnreachable schedules the delivery for the end of the fault.
+// machine is nil if the receiver is not a machine.
+func (world *World) holdIfUnreachable(machine *Worker, deliver func()) bool {
+	if machine == nil || !world.now.Before(machine.unreachableUntil) {
 		return false
 	}
-	if m.holdWhileUnreachable {
-		w.schedule(m.unreachableUntil.Sub(w.now)+time.Millisecond, deliver)
+	if machine.holdWhileUnreachable {
+		world.schedule(machine.unreachableUntil.Sub(world.now)+time.Millisecond, deliver)
 	}
 	return true
 }
 
 // IsolateController separates a controller from the state service and the other controllers, but
-// not from its workers, for d. With refused the state service answers the controller and refuses
-// its requests; otherwise the link to it is broken.
-func (w *World) IsolateController(i int, d time.Duration, refused, hold bool) {
-	p := w.controllers[i]
+// not from its workers, for the given duration. With refused the state service answers the
+// controller and refuses its requests; otherwise the link to it is broken.
+func (world *World) IsolateController(i int, duration time.Duration, refused, holdMessages bool) {
+	process := world.controllers[i]
 	if refused {
-		w.refuseController(p, d)
+		world.refuseController(process, duration)
 	} else {
-		w.Partition(p.name, "state", d, hold)
+		world.Partition(process.name, "state", duration, holdMessages)
 	}
-	for _, o := range w.controllers {
-		if o != p {
-			w.Partition(p.name, o.name, d, hold)
+	for _, other := range world.controllers {
+		if other != process {
+			world.Partition(process.name, other.name, duration, holdMessages)
 		}
 	}
 }
 
 // CrashBefore crashes the first process that is about to send a matching effect, before it sends
-// the effect or, with afterSend, after it. The process starts again after d.
-func (w *World) CrashBefore(d time.Duration, afterSend bool, matches func(message.Effect) bool) {
-	w.crashCondition = func(p *controllerProcess, e message.Effect) bool {
-		if !matches(e) {
+// the effect or, with afterSend, after it. The process starts again after restartAfter.
+func (world *World) CrashBefore(restartAfter time.Duration, afterSend bool, matches func(message.Effect) bool) {
+	world.crashCondition = func(process *controllerProcess, effect message.Effect) bool {
+		if !matches(effect) {
 			return false
 		}
 		if afterSend {
-			p.send(e)
+			process.send(effect)
 		}
-		w.CrashController(p.index, d)
+		world.CrashController(process.index, restartAfter)
 		return true
 	}
 }
 
 // crashesOn crashes a process if crashCondition matches the effect, and reports whether it did.
-func (w *World) crashesOn(p *controllerProcess, e message.Effect) bool {
-	ends := w.crashCondition
-	if ends == nil {
+func (world *World) crashesOn(process *controllerProcess, effect message.Effect) bool {
+	condition := world.crashCondition
+	if condition == nil {
 		return false
 	}
-	w.crashCondition = nil
-	if ends(p, e) {
+	world.crashCondition = nil
+	if condition(process, effect) {
 		return true
 	}
-	w.crashCondition = ends
+	world.crashCondition = condition
 	return false
 }
 
 // startPartialFault begins a random fault of this file, or crashes controllers or workers and
 // restarts them within a fraction of a second.
-func (w *World) startPartialFault(rng *rand.Rand) {
-	d := time.Duration(5+rng.IntN(60)) * time.Second
+func (world *World) startPartialFault(rng *rand.Rand) {
+	duration := time.Duration(5+rng.IntN(60)) * time.Second
 	restartAfter := []time.Duration{50, 200, 500}[rng.IntN(3)] * time.Millisecond
-	i, hold := rng.IntN(len(w.controllers)), rng.IntN(2) == 0
+	i, holdMessages := rng.IntN(len(world.controllers)), rng.IntN(2) == 0
 	switch rng.IntN(6) {
 	case 0:
-		w.MakeUnreachable(w.SampleMachineIDs([]float64{0.05, 0.3, 1}[rng.IntN(3)], []string{"", "a", "b"}[rng.IntN(3)], rng), d, hold)
+		world.MakeUnreachable(world.SampleMachineIDs([]float64{0.05, 0.3, 1}[rng.IntN(3)], []string{"", "a", "b"}[rng.IntN(3)], rng), duration, holdMessages)
 	case 1:
-		w.CopyHeartbeats(0.3, 5*w.settings.WorkerLease, d)
+		world.CopyHeartbeats(0.3, 5*world.settings.WorkerLease, duration)
 	case 2:
-		for _, id := range w.SampleMachineIDs([]float64{0.05, 0.3}[rng.IntN(2)], "", rng) {
-			w.RestartWorker(w.machines[id], restartAfter)
+		for _, id := range world.SampleMachineIDs([]float64{0.05, 0.3}[rng.IntN(2)], "", rng) {
+			world.RestartWorker(world.machines[id], restartAfter)
 		}
 	case 3:
-		w.IsolateController(i, d, rng.IntN(3) == 0, hold)
+		world.IsolateController(i, duration, rng.IntN(3) == 0, holdMessages)
 	case 4:
-		w.CrashController(i, restartAfter)
+		world.CrashController(i, restartAfter)
 	case 5:
-		for k := range w.controllers {
-			w.CrashController(k, restartAfter)
+		for k := range world.controllers {
+			world.CrashController(k, restartAfter)
 		}
 	}
 }
 
-// RestartWorker ends a machine's worker and starts it again after d with the same machine id:
-// without tasks, images and epoch, in its first incarnation. Messages on their way to the old
-// process are lost, because its connections are closed.
-func (w *World) RestartWorker(m *Worker, d time.Duration) {
-	w.clearTasks(m)
-	clear(m.images)
-	m.process++
-	m.incarnation, m.sequence, m.epoch = 0, 0, 0
-	m.heartbeatPending, m.changed = false, false
-	m.hungUntil = w.now.Add(d)
+// RestartWorker ends a machine's worker and starts it again after restartAfter with the same
+// machine id: without tasks, images and epoch, in its first incarnation. Messages on their way to
+// the old process are lost, because its connections are closed.
+func (world *World) RestartWorker(machine *Worker, restartAfter time.Duration) {
+	world.clearTasks(machine)
+	clear(machine.images)
+	machine.process++
+	machine.incarnation, machine.sequence, machine.epoch = 0, 0, 0
+	machine.heartbeatPending, machine.changed = false, false
+	machine.hungUntil = world.now.Add(restartAfter)
 }
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -48,31 +48,31 @@
 )
 
 // hasReached reports whether a job has reached a milestone.
-func (j *userJob) hasReached(m milestone) bool {
+func (job *userJob) hasReached(m milestone) bool {
 	switch m {
 	case milestoneAccepted:
-		return j.accepted
+		return job.accepted
 	case milestoneTasksDone:
-		return !j.tasksDoneAt.IsZero()
+		return !job.tasksDoneAt.IsZero()
 	default:
-		return isFinal(j.lastState)
+		return isFinal(job.lastState)
 	}
 }
 
 // onMilestone calls fn when the job reaches a milestone, or immediately if it has reached it.
-func (j *userJob) onMilestone(m milestone, fn func()) {
-	if j.hasReached(m) {
+func (job *userJob) onMilestone(m milestone, fn func()) {
+	if job.hasReached(m) {
 		fn()
 		return
 	}
-	j.hooks[m] = append(j.hooks[m], fn)
+	job.hooks[m] = append(job.hooks[m], fn)
 }
 
 // runHooks calls and removes the functions that wait for milestones that the job has reached.
-func (j *userJob) runHooks() {
+func (job *userJob) runHooks() {
 	for _, m := range []milestone{milestoneAccepted, milestoneTasksDone, milestoneFinal} {
-		if fns := j.hooks[m]; len(fns) > 0 && j.hasReached(m) {
-			delete(j.hooks, m)
+		if fns := job.hooks[m]; len(fns) > 0 && job.hasReached(m) {
+			delete(job.hooks, m)
 			for _, fn := range fns {
 				fn()
 			}
@@ -86,8 +86,8 @@
 	if left == 0 {
 		fn()
 	}
-	for _, j := range jobs {
-		j.onMilestone(m, func() {
+	for _, job := range jobs {
+		job.onMilestone(m, func() {
 			if left--; left == 0 {
 				fn()
 			}
@@ -97,38 +97,38 @@
 
 // linkDependencies links a job with those of its dependencies that were submitted, and sets
 // dependenciesAccepted.
-func (w *World) linkDependencies(j *userJob) {
-	j.dependenciesAccepted = len(j.spec.Dependencies) > 0
-	for _, id := range j.spec.Dependencies {
-		n := w.jobs[id]
-		j.dependenciesAccepted = j.dependenciesAccepted && n != nil && n.accepted
-		if n != nil && n != j {
-			j.dependencies = append(j.dependencies, n)
-			n.dependents = append(n.dependents, j)
+func (world *World) linkDependencies(job *userJob) {
+	job.dependenciesAccepted = len(job.spec.Dependencies) > 0
+	for _, id := range job.spec.Dependencies {
+		dependency := world.jobs[id]
+		job.dependenciesAccepted = job.dependenciesAccepted && dependency != nil && dependency.accepted
+		if dependency != nil && dependency != job {
+			job.dependencies = append(job.dependencies, dependency)
+			dependency.dependents = append(dependency.dependents, job)
 		}
 	}
 }
 
 // submitAfter submits a job when all others have reached a milestone.
-func (w *World) submitAfter(j *userJob, m milestone, others ...*userJob) {
-	onAllReached(others, m, func() { w.submitJob(j) })
+func (world *World) submitAfter(job *userJob, m milestone, others ...*userJob) {
+	onAllReached(others, m, func() { world.submitJob(job) })
 }
 
 // CancelAt sends the cancellation of a job to count controllers within concurrentWindow, beginning
 // with the controller with index first. Failed requests are repeated until a controller confirms
 // the cancellation.
-func (w *World) CancelAt(id string, first, count int) {
-	j := w.jobs[id]
-	j.cancelRequested = true
-	for i := range min(count, len(w.controllers)) {
-		to := (first + i) % len(w.controllers)
-		w.schedule(time.Duration(w.rng.Int64N(int64(concurrentWindow))), func() {
-			requestedAt := w.now
-			w.userRequestTo(to, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
-				if r != nil && r.Status == http.StatusOK {
-					w.checkAnswer(j, requestedAt, r)
-				} else if !isFinal(j.lastState) {
-					w.schedule(w.jitter(time.Second), func() { w.Cancel(id) })
+func (world *World) CancelAt(id string, first, count int) {
+	job := world.jobs[id]
+	job.cancelRequested = true
+	for i := range min(count, len(world.controllers)) {
+		to := (first + i) % len(world.controllers)
+		world.schedule(time.Duration(world.rng.Int64N(int64(concurrentWindow))), func() {
+			requestedAt := world.now
+			world.userRequestTo(to, func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} }, 5*time.Second, func(reply *message.UserReply) {
+				if reply != nil && reply.Status == http.StatusOK {
+					world.checkAnswer(job, requestedAt, reply)
+				} else if !isFinal(job.lastState) {
+					world.schedule(world.jitter(time.Second), func() { world.Cancel(id) })
 				}
 			})
 		})
@@ -137,26 +137,26 @@
 
 // resubmit submits an accepted job again and checks that the controller knows the job, in whatever
 // state its dependencies are.
-func (w *World) resubmit(j *userJob) {
-	to := w.rng.IntN(len(w.controllers))
-	w.checkedRequest(to, j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
+func (world *World) resubmit(job *userJob) {
+	to := world.rng.IntN(len(world.controllers))
+	world.checkedRequest(to, job, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: job.spec} })
 }
 
 // generatePipeline draws a pipeline. Each job of a step depends on all jobs of the previous step.
 // The last step is a single urgent job with a deadline.
-func (d *Day) generatePipeline(w *World, rng *rand.Rand) (steps [][]*userJob) {
-	team := d.Settings.Teams[rng.IntN(d.Teams)].Name
+func (day *Day) generatePipeline(world *World, rng *rand.Rand) (steps [][]*userJob) {
+	team := day.Settings.Teams[rng.IntN(day.Teams)].Name
 	var before []string
 	last := 1 + rng.IntN(maxSteps-1)
 	for k := range last + 1 {
-		side := 1
+		parallelJobs := 1
 		if k < last && rng.IntN(3) == 0 {
-			side = 1 + rng.IntN(maxParallelJobs)
+			parallelJobs = 1 + rng.IntN(maxParallelJobs)
 		}
 		var step []*userJob
 		var names []string
-		for range side {
-			id := w.nextJobID()
+		for range parallelJobs {
+			id := world.nextJobID()
 			run := time.Duration(float64(stepRunTime) * (0.3 + rng.Float64()))
 			spec := model.JobSpec{
 				ID: id, Workload: fmt.Sprintf("step-%d", k), Team: team, Urgency: model.BestEffort,
@@ -177,45 +177,45 @@
 
 // submitPipelines schedules the day's pipelines, cancellations of some of their jobs, and jobs with
 // invalid dependencies. Every job is submitted again after the last one has ended.
-func (d *Day) submitPipelines(w *World) {
-	if !d.Pipelines {
+func (day *Day) submitPipelines(world *World) {
+	if !day.Pipelines {
 		return
 	}
-	rng := rand.New(rand.NewPCG(d.Seed, 819))
-	span := time.Duration(d.Minutes) * time.Minute
-	for range min(max(minPipelines, d.Jobs/jobsPerPipeline), maxPipelines) {
-		steps := d.generatePipeline(w, rng)
+	rng := rand.New(rand.NewPCG(day.Seed, 819))
+	span := time.Duration(day.Minutes) * time.Minute
+	for range min(max(minPipelines, day.Jobs/jobsPerPipeline), maxPipelines) {
+		steps := day.generatePipeline(world, rng)
 		at := time.Duration(rng.Float64() * float64(span))
-		if d.Cancels != nil && rng.IntN(3) > 0 {
+		if day.Cancels != nil && rng.IntN(3) > 0 {
 			// Start most pipelines in the minute before the mass cancellation, so that their jobs
 			// are in progress when the faults overlap.
-			at = max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(time.Minute)))
+			at = max(0, day.Cancels.At-time.Duration(rng.Float64()*float64(time.Minute)))
 		}
-		late := rng.IntN(4) == 0
-		w.schedule(at, func() {
+		submitLastWhenEnded := rng.IntN(4) == 0
+		world.schedule(at, func() {
 			for k, step := range steps {
-				for _, j := range step {
+				for _, job := range step {
 					switch {
 					case k == 0:
-						w.submitJob(j)
-					case late && k == len(steps)-1:
-						w.submitAfter(j, milestoneFinal, steps[k-1]...)
+						world.submitJob(job)
+					case submitLastWhenEnded && k == len(steps)-1:
+						world.submitAfter(job, milestoneFinal, steps[k-1]...)
 					default:
-						w.submitAfter(j, milestoneAccepted, steps[k-1]...)
+						world.submitAfter(job, milestoneAccepted, steps[k-1]...)
 					}
 				}
 			}
 		})
 		if rng.Float64() < cancelFraction {
-			d.cancelPipelineJob(w, rng, steps, at)
+			day.cancelPipelineJob(world, rng, steps, at)
 		}
 		if rng.Float64() < invalidFraction {
-			d.submitInvalidDependencies(w, rng, steps)
+			day.submitInvalidDependencies(world, rng, steps)
 		}
 		last := steps[len(steps)-1][0]
-		for _, j := range slices.Concat(steps...) {
+		for _, job := range slices.Concat(steps...) {
 			wait := time.Duration(rng.Int64N(int64(time.Minute)))
-			last.onMilestone(milestoneFinal, func() { w.schedule(wait, func() { w.resubmit(j) }) })
+			last.onMilestone(milestoneFinal, func() { world.schedule(wait, func() { world.resubmit(job) }) })
 		}
 	}
 }
@@ -224,48 +224,48 @@
 // several. The time of the cancellation is random, shortly after the job is accepted, shortly after
 // its last task is done, or when its dependents are submitted to another controller. Some users
 // submit another dependent of the cancelled job later.
-func (d *Day) cancelPipelineJob(w *World, rng *rand.Rand, steps [][]*userJob, at time.Duration) {
+func (day *Day) cancelPipelineJob(world *World, rng *rand.Rand, steps [][]*userJob, at time.Duration) {
 	k := rng.IntN(len(steps))
-	j := steps[k][rng.IntN(len(steps[k]))]
-	first, count := rng.IntN(d.Controllers), []int{1, 1, 2, d.Controllers}[rng.IntN(4)]
-	soon := time.Duration(rng.Int64N(int64(3 * concurrentWindow)))
+	job := steps[k][rng.IntN(len(steps[k]))]
+	first, count := rng.IntN(day.Controllers), []int{1, 1, 2, day.Controllers}[rng.IntN(4)]
+	delay := time.Duration(rng.Int64N(int64(3 * concurrentWindow)))
 	cancelJob := func() {
-		if w.jobs[j.spec.ID] != nil {
-			w.CancelAt(j.spec.ID, first, count)
+		if world.jobs[job.spec.ID] != nil {
+			world.CancelAt(job.spec.ID, first, count)
 		}
 	}
 	switch rng.IntN(4) {
 	case 0:
 		moment := at + time.Duration(rng.Float64()*float64(2*stepRunTime*time.Duration(k+1)))
-		if c := d.Cancels; c != nil && c.At+c.Duration > at {
-			moment = max(at, c.At) + time.Duration(rng.Float64()*float64(c.Duration))
+		if cancels := day.Cancels; cancels != nil && cancels.At+cancels.Duration > at {
+			moment = max(at, cancels.At) + time.Duration(rng.Float64()*float64(cancels.Duration))
 		}
-		w.schedule(moment, func() { j.onMilestone(milestoneAccepted, cancelJob) })
+		world.schedule(moment, func() { job.onMilestone(milestoneAccepted, cancelJob) })
 	case 1:
-		j.onMilestone(milestoneAccepted, func() { w.schedule(soon, cancelJob) })
+		job.onMilestone(milestoneAccepted, func() { world.schedule(delay, cancelJob) })
 	case 2:
-		j.onMilestone(milestoneTasksDone, func() { w.schedule(soon/2, cancelJob) })
+		job.onMilestone(milestoneTasksDone, func() { world.schedule(delay/2, cancelJob) })
 	case 3:
 		// The dependents of the job are submitted when all jobs of the step are accepted.
 		onAllReached(steps[k], milestoneAccepted, cancelJob)
 	}
 	if rng.IntN(2) == 0 {
 		spec := steps[len(steps)-1][0].spec
-		spec.ID, spec.Dependencies = w.nextJobID(), []string{j.spec.ID}
-		more := newUserJob(spec, stepRunTime)
-		wait := time.Duration(rng.Float64() * float64(2*d.cancelWithin()))
-		j.onMilestone(milestoneFinal, func() { w.schedule(wait, func() { w.submitJob(more) }) })
+		spec.ID, spec.Dependencies = world.nextJobID(), []string{job.spec.ID}
+		newDependent := newUserJob(spec, stepRunTime)
+		wait := time.Duration(rng.Float64() * float64(2*day.cancelWithin()))
+		job.onMilestone(milestoneFinal, func() { world.schedule(wait, func() { world.submitJob(newDependent) }) })
 	}
 }
 
 // submitInvalidDependencies submits a job that the controllers must refuse: it depends on a job
 // that was never submitted, on itself, or on the same job twice.
-func (d *Day) submitInvalidDependencies(w *World, rng *rand.Rand, steps [][]*userJob) {
+func (day *Day) submitInvalidDependencies(world *World, rng *rand.Rand, steps [][]*userJob) {
 	first := steps[0][0]
 	spec := first.spec
-	spec.ID = w.nextJobID()
+	spec.ID = world.nextJobID()
 	spec.Dependencies = [][]string{{fmt.Sprintf("job-8%05d", rng.IntN(100000))}, {spec.ID}, {first.spec.ID, first.spec.ID}}[rng.IntN(3)]
-	odd := newUserJob(spec, stepRunTime)
-	odd.invalid = true
-	first.onMilestone(milestoneAccepted, func() { w.submitJob(odd) })
+	invalidJob := newUserJob(spec, stepRunTime)
+	invalidJob.invalid = true
+	first.onMilestone(milestoneAccepted, func() { world.submitJob(invalidJob) })
 }
--- a/internal/simulation/promises.go
+++ b/internal/simulation/promises.go
@@ -27,41 +27,41 @@
 }
 
 // promiseSummary returns the outcome of the promised dates, or nil if promises are switched off.
-func (w *World) promiseSummary() *PromiseSummary {
-	if !w.settings.Capabilities.Promises {
+func (world *World) promiseSummary() *PromiseSummary {
+	if !world.settings.Capabilities.Promises {
 		return nil
 	}
-	d := &PromiseSummary{PageWritesPerS: float64(w.state.pageWrites) / w.now.Sub(w.startedAt).Seconds()}
-	if row := w.state.records["promise/totals"]; row != nil {
-		t, err := promise.DecodeTotals(row.value)
+	summary := &PromiseSummary{PageWritesPerS: float64(world.state.pageWrites) / world.now.Sub(world.startedAt).Seconds()}
+	if row := world.state.records["promise/totals"]; row != nil {
+		totals, err := promise.DecodeTotals(row.value)
 		if err != nil {
-			w.violate("malformed", "totals: %v", err)
-			return d
+			world.violate("malformed", "totals: %v", err)
+			return summary
 		}
-		s := t.Sum()
-		d.Ended, d.Made, d.Revised, d.WorstS = s.Jobs, s.Made, s.Revised, s.Worst.Seconds()
-		d.Kept = float64(s.Kept) / float64(max(1, s.Made))
+		sum := totals.Sum()
+		summary.Ended, summary.Made, summary.Revised, summary.WorstS = sum.Jobs, sum.Made, sum.Revised, sum.Worst.Seconds()
+		summary.Kept = float64(sum.Kept) / float64(max(1, sum.Made))
 	}
 	var promised, finished []time.Duration
 	first, accepted := 0, 0
-	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
-		if !j.accepted {
+	for _, id := range sortedKeys(world.jobs) {
+		job := world.jobs[id]
+		if !job.accepted {
 			continue
 		}
 		accepted++
-		if j.promisedAtFirst {
+		if job.promisedAtFirst {
 			first++
 		}
-		if j.lastState == "done" && j.promiseRevision > 0 {
-			promised, finished = append(promised, j.promised), append(finished, j.finished.Sub(j.submitted))
+		if job.lastState == "done" && job.promiseRevision > 0 {
+			promised, finished = append(promised, job.promised), append(finished, job.finished.Sub(job.submitted))
 		}
 	}
-	d.DatedAtFirst = float64(first) / float64(max(1, accepted))
+	summary.DatedAtFirst = float64(first) / float64(max(1, accepted))
 	if len(promised) > 0 {
 		slices.Sort(promised)
 		slices.Sort(finished)
-		d.MedianDateS, d.MedianFinishS = promised[len(promised)/2].Seconds(), finished[len(finished)/2].Seconds()
+		summary.MedianDateS, summary.MedianFinishS = promised[len(promised)/2].Seconds(), finished[len(finished)/2].Seconds()
 	}
-	return d
+	return summary
 }
--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -46,104 +46,104 @@
 }
 
 // CheckRanking enables the checks of rankingChecker.
-func (w *World) CheckRanking() {
-	w.rankingCheck = &rankingChecker{world: w, revisions: []uint64{0}, changedAt: []time.Time{w.now}, decidedUnder: map[string]uint64{}, startSent: map[string]bool{}, placedTasks: map[string]map[int]bool{}}
+func (world *World) CheckRanking() {
+	world.rankingCheck = &rankingChecker{world: world, revisions: []uint64{0}, changedAt: []time.Time{world.now}, decidedUnder: map[string]uint64{}, startSent: map[string]bool{}, placedTasks: map[string]map[int]bool{}}
 }
 
 // noteRanking reads the ranking's record in the state service and records a change.
-func (r *rankingChecker) noteRanking() {
-	if r == nil {
+func (checker *rankingChecker) noteRanking() {
+	if checker == nil {
 		return
 	}
-	row := r.world.state.records["ctl/ranking"]
+	row := checker.world.state.records["ctl/ranking"]
 	modRevision := uint64(0)
 	if row != nil {
 		modRevision = row.modRevision
 	}
-	if modRevision == r.revisions[len(r.revisions)-1] {
+	if modRevision == checker.revisions[len(checker.revisions)-1] {
 		return
 	}
-	r.revisions, r.changedAt = append(r.revisions, modRevision), append(r.changedAt, r.world.now)
+	checker.revisions, checker.changedAt = append(checker.revisions, modRevision), append(checker.changedAt, checker.world.now)
 	if row != nil {
 		if rec, err := ranking.Decode(row.value); err == nil {
-			r.table = rec.Table()
+			checker.table = rec.Table()
 		}
 	}
 }
 
 // onDecision records and checks the placement decisions of a controller. It reads them from the
 // debug log event "task placed" with the keys job, task, try, machine and ranking.
-func (r *rankingChecker) onDecision(p *controllerProcess, e message.Effect) {
-	l, ok := e.(message.Log)
-	if r == nil || !ok || l.Message != "task placed" {
+func (checker *rankingChecker) onDecision(process *controllerProcess, effect message.Effect) {
+	entry, ok := effect.(message.Log)
+	if checker == nil || !ok || entry.Message != "task placed" {
 		return
 	}
 	args := map[string]any{}
-	for i := 0; i+1 < len(l.Args); i += 2 {
-		args[fmt.Sprint(l.Args[i])] = l.Args[i+1]
+	for i := 0; i+1 < len(entry.Args); i += 2 {
+		args[fmt.Sprint(entry.Args[i])] = entry.Args[i+1]
 	}
 	id, i := fmt.Sprint(args["job"]), args["task"].(int)
-	r.decidedUnder[fmt.Sprintf("%s/%d#%v", id, i, args["try"])] = args["ranking"].(uint64)
-	if r.placedTasks[id] == nil {
-		r.placedTasks[id] = map[int]bool{}
+	checker.decidedUnder[fmt.Sprintf("%s/%d#%v", id, i, args["try"])] = args["ranking"].(uint64)
+	if checker.placedTasks[id] == nil {
+		checker.placedTasks[id] = map[int]bool{}
 	}
-	r.placedTasks[id][i] = true
-	r.checkOrder(p, id, r.world.machines[fmt.Sprint(args["machine"])])
+	checker.placedTasks[id][i] = true
+	checker.checkOrder(process, id, checker.world.machines[fmt.Sprint(args["machine"])])
 }
 
 // checkOrder reports a violation if a job that ranks before the just placed job id has waited for
-// rankingSettleTime and fits the machine m. It checks nothing if the placed job has waited for
-// longer than maxOrderedWait, since aging may then place it first.
-func (r *rankingChecker) checkOrder(p *controllerProcess, id string, m *Worker) {
-	w := r.world
-	j := w.jobs[id]
-	if r.startsOnly || j == nil || m == nil || w.now.Sub(r.changedAt[len(r.changedAt)-1]) < rankingSettleTime || w.now.Sub(j.submitted) > maxOrderedWait {
+// rankingSettleTime and fits the machine. It checks nothing if the placed job has waited for longer
+// than maxOrderedWait, since aging may then place it first.
+func (checker *rankingChecker) checkOrder(process *controllerProcess, id string, machine *Worker) {
+	world := checker.world
+	job := world.jobs[id]
+	if checker.startsOnly || job == nil || machine == nil || world.now.Sub(checker.changedAt[len(checker.changedAt)-1]) < rankingSettleTime || world.now.Sub(job.submitted) > maxOrderedWait {
 		return
 	}
-	place := r.table.Rank(j.spec.Workload, int(j.spec.Urgency))
-	for _, x := range sortedKeys(w.jobs) {
-		o := w.jobs[x]
-		s := &o.spec
+	place := checker.table.Rank(job.spec.Workload, int(job.spec.Urgency))
+	for _, otherID := range sortedKeys(world.jobs) {
+		other := world.jobs[otherID]
+		otherSpec := &other.spec
 		switch {
-		case o == j || s.Team != j.spec.Team || s.Gang || s.SameZone || s.SpreadZones || o.isCancelled() || o.alwaysFails:
-		case !o.dependenciesDone() || w.now.Sub(o.eligibleSince()) < rankingSettleTime || len(j.dependents) > 0:
+		case other == job || otherSpec.Team != job.spec.Team || otherSpec.Gang || otherSpec.SameZone || otherSpec.SpreadZones || other.isCancelled() || other.alwaysFails:
+		case !other.dependenciesDone() || world.now.Sub(other.eligibleSince()) < rankingSettleTime || len(job.dependents) > 0:
 			// A job that others depend on may be placed first to unblock them.
-		case r.table.Rank(s.Workload, int(s.Urgency)) >= place:
-		case o.lastState != "queued" || w.now.Sub(o.lastStateAt) < rankingSettleTime || len(r.placedTasks[x]) >= s.Tasks:
-		case !s.Need.Fits(j.spec.Need) || len(s.MachineTypes) > 0 || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot:
+		case checker.table.Rank(otherSpec.Workload, int(otherSpec.Urgency)) >= place:
+		case other.lastState != "queued" || world.now.Sub(other.lastStateAt) < rankingSettleTime || len(checker.placedTasks[otherID]) >= otherSpec.Tasks:
+		case !otherSpec.Need.Fits(job.spec.Need) || len(otherSpec.MachineTypes) > 0 || otherSpec.Zone != "" && otherSpec.Zone != machine.Zone || machine.Spot && !otherSpec.AllowSpot:
 		default:
-			w.violate("ranked_before", "%s places %s on %s, while %s of %s stands before it and waits", p.name, id, m.ID, x, s.Workload)
+			world.violate("ranked_before", "%s places %s on %s, while %s of %s stands before it and waits", process.name, id, machine.ID, otherID, otherSpec.Workload)
 		}
 	}
 }
 
 // onSend records and checks the starts in an effect that a controller sends.
-func (r *rankingChecker) onSend(p *controllerProcess, e message.Effect) {
-	if r == nil {
+func (checker *rankingChecker) onSend(process *controllerProcess, effect message.Effect) {
+	if checker == nil {
 		return
 	}
 	var commands []model.TaskCommand
-	switch x := e.(type) {
+	switch x := effect.(type) {
 	case message.WorkerRequest:
 		commands = x.Commands
 	case message.HeartbeatReply:
 		commands = x.Commands
 	}
-	for _, o := range commands {
-		name := fmt.Sprintf("%s/%d#%d", o.Job, o.Index, o.Attempt)
-		under, known := r.decidedUnder[name]
-		if o.Kind != model.StartTask || r.startSent[name] || !known {
+	for _, command := range commands {
+		name := fmt.Sprintf("%s/%d#%d", command.Job, command.Index, command.Attempt)
+		decidedRevision, known := checker.decidedUnder[name]
+		if command.Kind != model.StartTask || checker.startSent[name] || !known {
 			// Repetitions of a start that was sent before are allowed.
 			continue
 		}
-		r.startSent[name] = true
-		for i, s := range r.revisions[:len(r.revisions)-1] {
-			if s != under {
+		checker.startSent[name] = true
+		for i, s := range checker.revisions[:len(checker.revisions)-1] {
+			if s != decidedRevision {
 				continue
 			}
-			r.OutdatedStarts++
-			if late := r.world.now.Sub(r.changedAt[i+1]); late > maxOutdatedStartDelay {
-				r.world.violate("outdated", "%s starts %s, decided under a ranking that was replaced %v ago", p.name, name, late)
+			checker.OutdatedStarts++
+			if late := checker.world.now.Sub(checker.changedAt[i+1]); late > maxOutdatedStartDelay {
+				checker.world.violate("outdated", "%s starts %s, decided under a ranking that was replaced %v ago", process.name, name, late)
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 
 // SetRanking sends a request to set the ranking to controller i. onReply is called with the answer
 // if there is one.
-func (w *World) SetRanking(i int, c message.SetRanking, onReply func(message.RankingReply)) {
-	c.Deadline = w.now.Add(4 * time.Second)
-	w.controllers[i].request(func(reply uint64) message.Command { c.Reply = reply; return c }, func(e message.Effect) { onReply(e.(message.RankingReply)) })
+func (world *World) SetRanking(i int, request message.SetRanking, onReply func(message.RankingReply)) {
+	request.Deadline = world.now.Add(4 * time.Second)
+	world.controllers[i].request(func(reply uint64) message.Command { request.Reply = reply; return request }, func(effect message.Effect) { onReply(effect.(message.RankingReply)) })
 }
--- a/internal/simulation/search.go
+++ b/internal/simulation/search.go
@@ -35,80 +35,80 @@
 // has a violation of any rule, otherwise 1.
 const UntimedRules = "others"
 
-// SearchProblem returns the search problem over days with overlapping faults and the parameters p;
-// parameters that are 0 are drawn. onResult is called with the result of each day, from several
-// goroutines at a time.
-func SearchProblem(p DayParams, onResult func(DayResult)) search.Problem[Day] {
+// SearchProblem returns the search problem over days with overlapping faults and the given
+// parameters; parameters that are 0 are drawn. onResult is called with the result of each day, from
+// several goroutines at a time.
+func SearchProblem(params DayParams, onResult func(DayResult)) search.Problem[Day] {
 	return search.Problem[Day]{
 		Generate: func(rng *rand.Rand) Day {
-			x := p
-			x.Seed, x.OverlappingFaults = rng.Uint64N(1<<32), true
-			x.Minutes = cmp.Or(x.Minutes, searchMinutes)
-			x.MixedJobs = x.MixedJobs || rng.IntN(2) == 0
-			x.CancelMarginS = cmp.Or(x.CancelMarginS, []int{0, 0, 10, 4}[rng.IntN(4)])
-			if x.Machines == 0 {
-				x.Machines = minSearchMachines + rng.IntN(3*minSearchMachines)
+			drawn := params
+			drawn.Seed, drawn.OverlappingFaults = rng.Uint64N(1<<32), true
+			drawn.Minutes = cmp.Or(drawn.Minutes, searchMinutes)
+			drawn.MixedJobs = drawn.MixedJobs || rng.IntN(2) == 0
+			drawn.CancelMarginS = cmp.Or(drawn.CancelMarginS, []int{0, 0, 10, 4}[rng.IntN(4)])
+			if drawn.Machines == 0 {
+				drawn.Machines = minSearchMachines + rng.IntN(3*minSearchMachines)
 			}
-			d := GenerateDay(x)
+			day := GenerateDay(drawn)
 			if rng.IntN(2) == 0 {
-				d.addFault(rng, d.generateAnyFault(rng))
+				day.addFault(rng, day.generateAnyFault(rng))
 			}
-			return d
+			return day
 		},
-		Mutate: func(rng *rand.Rand, d Day) Day {
+		Mutate: func(rng *rand.Rand, day Day) Day {
 			for range 1 + rng.IntN(3) {
-				d = d.mutated(rng)
+				day = day.mutated(rng)
 			}
-			return d
+			return day
 		},
-		Evaluate: func(d Day) map[string]float64 {
-			r := RunDay(d, "")
-			onResult(r)
-			return r.margins()
+		Evaluate: func(day Day) map[string]float64 {
+			result := RunDay(day, "")
+			onResult(result)
+			return result.margins()
 		},
 	}
 }
 
 // margins returns the margin of each timed rule in seconds, and that of UntimedRules.
-func (r *DayResult) margins() map[string]float64 {
+func (result *DayResult) margins() map[string]float64 {
 	out := map[string]float64{UntimedRules: 1}
-	if len(r.Violations) > 0 {
+	if len(result.Violations) > 0 {
 		out[UntimedRules] = -1
 	}
-	for rule, s := range r.Margins {
-		out[rule] = s.Remaining.Seconds()
+	for rule, margin := range result.Margins {
+		out[rule] = margin.Remaining.Seconds()
 	}
 	return out
 }
 
 // generateAnyFault draws a fault of overlapFaultKinds or extraFaultKinds with its begin.
-func (d *Day) generateAnyFault(rng *rand.Rand) Fault {
-	f := d.generateFault(rng)
+func (day *Day) generateAnyFault(rng *rand.Rand) Fault {
+	fault := day.generateFault(rng)
 	if rng.IntN(2) == 0 {
-		f = d.generateExtraFault(rng)
+		fault = day.generateExtraFault(rng)
 	}
-	f.At = d.clampFaultStart(time.Duration(rng.Float64() * float64(d.latestFaultStart())))
-	return f
+	fault.At = day.clampFaultStart(time.Duration(rng.Float64() * float64(day.latestFaultStart())))
+	return fault
 }
 
 // latestFaultStart returns the latest time at which a fault of a day of a search may begin.
-func (d *Day) latestFaultStart() time.Duration {
-	return time.Duration(d.Minutes)*time.Minute + lastSearchFaultAfter
+func (day *Day) latestFaultStart() time.Duration {
+	return time.Duration(day.Minutes)*time.Minute + lastSearchFaultAfter
 }
 
 // clampFaultStart returns the time closest to at at which a fault may begin.
-func (d *Day) clampFaultStart(at time.Duration) time.Duration {
-	return min(max(at, firstSearchFault), d.latestFaultStart())
+func (day *Day) clampFaultStart(at time.Duration) time.Duration {
+	return min(max(at, firstSearchFault), day.latestFaultStart())
 }
 
 // addFault adds a fault. If there are other faults, it begins close to one of them, so that they
 // overlap.
-func (d *Day) addFault(rng *rand.Rand, f Fault) {
-	if len(d.Faults) > 0 {
-		f.At = d.clampFaultStart(d.Faults[rng.IntN(len(d.Faults))].At + randomShift(rng))
+func (day *Day) addFault(rng *rand.Rand, fault Fault) {
+	if len(day.Faults) > 0 {
+		fault.At = day.clampFaultStart(day.Faults[rng.IntN(len(day.Faults))].At + randomShift(rng))
 	}
-	d.Faults = append(slices.Clone(d.Faults), f)
-	d.sortFaults()
+	day.Faults = append(slices.Clone(day.Faults), fault)
+	day.sortFaults()
 }
 
 // randomShift draws a positive or negative shift whose logarithm is uniformly distributed.
@@ -120,54 +120,54 @@
 	return by
 }
 
-// mutated returns a copy of d with one random change of its faults or mass cancellation.
-func (d Day) mutated(rng *rand.Rand) Day {
-	d.Faults = slices.Clone(d.Faults)
-	if d.Cancels != nil {
-		c := *d.Cancels
-		d.Cancels = &c
+// mutated returns a copy of the day with one random change of its faults or mass cancellation.
+func (day Day) mutated(rng *rand.Rand) Day {
+	day.Faults = slices.Clone(day.Faults)
+	if day.Cancels != nil {
+		cancels := *day.Cancels
+		day.Cancels = &cancels
 	}
-	if len(d.Faults) == 0 {
-		d.addFault(rng, d.generateAnyFault(rng))
-		return d
+	if len(day.Faults) == 0 {
+		day.addFault(rng, day.generateAnyFault(rng))
+		return day
 	}
-	i, k := rng.IntN(len(d.Faults)), rng.IntN(len(d.Faults))
-	f := &d.Faults[i]
+	i, k := rng.IntN(len(day.Faults)), rng.IntN(len(day.Faults))
+	fault := &day.Faults[i]
 	switch rng.IntN(9) {
 	case 0, 1:
-		f.At = d.clampFaultStart(f.At + randomShift(rng))
+		fault.At = day.clampFaultStart(fault.At + randomShift(rng))
 	case 2:
-		f.At, d.Faults[k].At = d.Faults[k].At, f.At
+		fault.At, day.Faults[k].At = day.Faults[k].At, fault.At
 	case 3:
-		f.Duration = time.Duration(float64(f.Duration) * (0.5 + 1.5*rng.Float64()))
+		fault.Duration = time.Duration(float64(fault.Duration) * (0.5 + 1.5*rng.Float64()))
 	case 4:
-		at := f.At
-		*f = d.generateAnyFault(rng)
-		f.At = at
+		at := fault.At
+		*fault = day.generateAnyFault(rng)
+		fault.At = at
 	case 5:
-		f.Controller, f.Busiest, f.HoldMessages = rng.IntN(d.Controllers), rng.IntN(2) == 0, rng.IntN(2) == 0
+		fault.Controller, fault.Busiest, fault.HoldMessages = rng.IntN(day.Controllers), rng.IntN(2) == 0, rng.IntN(2) == 0
 	case 6:
-		if len(d.Faults) < maxSearchFaults {
-			d.addFault(rng, d.generateAnyFault(rng))
+		if len(day.Faults) < maxSearchFaults {
+			day.addFault(rng, day.generateAnyFault(rng))
 		}
 	case 7:
-		if len(d.Faults) > 1 {
-			d.Faults = slices.Delete(d.Faults, i, i+1)
+		if len(day.Faults) > 1 {
+			day.Faults = slices.Delete(day.Faults, i, i+1)
 		}
 	case 8:
-		if c := d.Cancels; c != nil {
-			c.At, c.Duration = d.clampFaultStart(c.At+randomShift(rng)), max(time.Second, c.Duration+randomShift(rng))
+		if cancels := day.Cancels; cancels != nil {
+			cancels.At, cancels.Duration = day.clampFaultStart(cancels.At+randomShift(rng)), max(time.Second, cancels.Duration+randomShift(rng))
 		}
 	}
-	d.sortFaults()
-	return d
+	day.sortFaults()
+	return day
 }
 
 // Save writes a day to a file that LoadDay can read.
-func (d Day) Save(file string) error {
-	b, err := json.MarshalIndent(d, "", "  ")
+func (day Day) Save(file string) error {
+	b, err := json.MarshalIndent(day, "", "  ")
 	if err != nil {
-		return fmt.Errorf("day: %w", err)
+		return fmt.Errorf("encode day: %w", err)
 	}
 	return os.WriteFile(file, append(b, '\n'), 0o644)
 }
@@ -187,10 +187,10 @@
 		return Day{}, fmt.Errorf("%s: %w", file, err)
 	}
 	if read.Machines < 1 || read.Teams < 1 || read.Controllers < 1 || read.Minutes < 1 || read.Jobs < 1 {
-		return Day{}, fmt.Errorf("%s: machines, teams, controllers, minutes and jobs are to be positive", file)
+		return Day{}, fmt.Errorf("%s: machines, teams, controllers, minutes and jobs must be positive", file)
 	}
-	d := GenerateDay(read.DayParams)
-	d.Faults, d.Cancels = read.Faults, read.Cancels
-	d.sortFaults()
-	return d, nil
+	day := GenerateDay(read.DayParams)
+	day.Faults, day.Cancels = read.Faults, read.Cancels
+	day.sortFaults()
+	return day, nil
 }
