--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -68,41 +68,41 @@
 }
 
 // Expire revokes the leases and answers the watches that have expired by now.
-func (s *StateService) Expire(now time.Time) {
-	ids := make([]uint64, 0, len(s.leases))
-	for id := range s.leases {
+func (service *StateService) Expire(now time.Time) {
+	ids := make([]uint64, 0, len(service.leases))
+	for id := range service.leases {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if now.After(s.leases[id].expiresAt) {
-			s.revokeLease(id)
+		if now.After(service.leases[id].expiresAt) {
+			service.revokeLease(id)
 		}
 	}
-	keep := s.watches[:0]
-	for _, w := range s.watches {
-		if now.After(w.expiresAt) {
-			w.answer(message.StoreResponse{ID: w.request.ID, Status: message.StoreOK, Revision: s.revision})
+	keep := service.watches[:0]
+	for _, watch := range service.watches {
+		if now.After(watch.expiresAt) {
+			watch.answer(message.StoreResponse{ID: watch.request.ID, Status: message.StoreOK, Revision: service.revision})
 		} else {
-			keep = append(keep, w)
+			keep = append(keep, watch)
 		}
 	}
-	s.watches = keep
+	service.watches = keep
 }
 
 // RenewLeases renews every lease to its full TTL. The service does this after an outage.
-func (s *StateService) RenewLeases(now time.Time) {
-	for _, l := range s.leases {
-		l.expiresAt = now.Add(l.ttl)
+func (service *StateService) RenewLeases(now time.Time) {
+	for _, lease := range service.leases {
+		lease.expiresAt = now.Add(lease.ttl)
 	}
 }
 
 // revokeLease removes a lease and deletes its records in one revision.
-func (s *StateService) revokeLease(id uint64) {
-	delete(s.leases, id)
+func (service *StateService) revokeLease(id uint64) {
+	delete(service.leases, id)
 	var keys []string
-	for k, r := range s.records {
-		if r.leaseID == id {
+	for k, rec := range service.records {
+		if rec.leaseID == id {
 			keys = append(keys, k)
 		}
 	}
@@ -110,58 +110,58 @@
 		return
 	}
 	sort.Strings(keys)
-	s.revision++
+	service.revision++
 	for _, k := range keys {
-		s.remove(k)
+		service.remove(k)
 	}
-	s.notifyWatches()
+	service.notifyWatches()
 }
 
 // remove deletes the record of a key if there is one.
-func (s *StateService) remove(key string) {
-	if _, ok := s.records[key]; ok {
-		delete(s.records, key)
-		s.recordChange(message.KeyValue{Key: key, ModRevision: s.revision, Deleted: true})
+func (service *StateService) remove(key string) {
+	if _, ok := service.records[key]; ok {
+		delete(service.records, key)
+		service.recordChange(message.KeyValue{Key: key, ModRevision: service.revision, Deleted: true})
 	}
 }
 
 // recordChange keeps a change for watches and drops the oldest change beyond maxKeptChanges.
-func (s *StateService) recordChange(kv message.KeyValue) {
-	s.changes = append(s.changes, kv)
+func (service *StateService) recordChange(kv message.KeyValue) {
+	service.changes = append(service.changes, kv)
 	if strings.HasPrefix(kv.Key, "open/~") {
-		s.pageWrites++
+		service.pageWrites++
 	}
-	if s.onChange != nil {
-		s.onChange(kv)
+	if service.onChange != nil {
+		service.onChange(kv)
 	}
-	if len(s.changes) > maxKeptChanges {
-		s.compactedRevision = s.changes[0].ModRevision
-		s.changes = s.changes[1:]
+	if len(service.changes) > maxKeptChanges {
+		service.compactedRevision = service.changes[0].ModRevision
+		service.changes = service.changes[1:]
 	}
 }
 
 // notifyWatches answers the pending watches for which there are changes.
-func (s *StateService) notifyWatches() {
-	keep := s.watches[:0]
+func (service *StateService) notifyWatches() {
+	keep := service.watches[:0]
 	var ready []*pendingWatch
-	for _, w := range s.watches {
-		if len(s.changesSince(w.request.Key, w.request.Revision)) > 0 {
-			ready = append(ready, w)
+	for _, watch := range service.watches {
+		if len(service.changesSince(watch.request.Key, watch.request.Revision)) > 0 {
+			ready = append(ready, watch)
 		} else {
-			keep = append(keep, w)
+			keep = append(keep, watch)
 		}
 	}
-	s.watches = keep
-	for _, w := range ready {
-		w.answer(message.StoreResponse{ID: w.request.ID, Status: message.StoreOK, Revision: s.revision, KeyValues: s.changesSince(w.request.Key, w.request.Revision)})
+	service.watches = keep
+	for _, watch := range ready {
+		watch.answer(message.StoreResponse{ID: watch.request.ID, Status: message.StoreOK, Revision: service.revision, KeyValues: service.changesSince(watch.request.Key, watch.request.Revision)})
 	}
 }
 
 // changesSince returns the kept changes of keys with a prefix that are newer than a revision.
-func (s *StateService) changesSince(prefix string, revision uint64) []message.KeyValue {
+func (service *StateService) changesSince(prefix string, revision uint64) []message.KeyValue {
 	var out []message.KeyValue
-	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].ModRevision > revision })
-	for _, kv := range s.changes[i:] {
+	i := sort.Search(len(service.changes), func(i int) bool { return service.changes[i].ModRevision > revision })
+	for _, kv := range service.changes[i:] {
 		if strings.HasPrefix(kv.Key, prefix) {
 			out = append(out, kv)
 		}
@@ -170,64 +170,64 @@
 }
 
 // malformed reports whether the service's limits make a request malformed.
-func (s *StateService) malformed(op *message.StoreRequest) bool {
-	return s.limits != nil && s.limits.validate(op) != nil
+func (service *StateService) malformed(request *message.StoreRequest) bool {
+	return service.limits != nil && service.limits.validate(request) != nil
 }
 
 // Do executes a request and calls answer with the response. The answer to a watch may come later,
 // from a call of another method. Without limits Do accepts requests of any size at any rate.
-func (s *StateService) Do(now time.Time, op message.StoreRequest, answer func(message.StoreResponse)) {
-	s.Expire(now)
-	out := message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: s.revision}
-	if s.limits != nil {
-		if err := s.limits.validate(&op); err != nil {
-			s.Malformed++
-			s.LastMalformed = err.Error()
-			answer(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed})
+func (service *StateService) Do(now time.Time, request message.StoreRequest, answer func(message.StoreResponse)) {
+	service.Expire(now)
+	out := message.StoreResponse{ID: request.ID, Status: message.StoreOK, Revision: service.revision}
+	if service.limits != nil {
+		if err := service.limits.validate(&request); err != nil {
+			service.Malformed++
+			service.LastMalformed = err.Error()
+			answer(message.StoreResponse{ID: request.ID, Status: message.StoreMalformed})
 			return
 		}
-		if !s.limits.allow(now, &op) {
-			s.RateLimited++
-			answer(message.StoreResponse{ID: op.ID, Status: StoreRateLimited})
+		if !service.limits.allow(now, &request) {
+			service.RateLimited++
+			answer(message.StoreResponse{ID: request.ID, Status: StoreRateLimited})
 			return
 		}
 	}
-	switch op.Kind {
+	switch request.Kind {
 	case message.OpGet:
-		if r, ok := s.records[op.Key]; ok {
-			out.KeyValues = []message.KeyValue{{Key: op.Key, Value: r.value, ModRevision: r.modRevision}}
+		if rec, ok := service.records[request.Key]; ok {
+			out.KeyValues = []message.KeyValue{{Key: request.Key, Value: rec.value, ModRevision: rec.modRevision}}
 		} else {
 			out.Status = message.StoreNotFound
 		}
 	case message.OpList:
-		out.KeyValues, out.Truncated = s.list(op.Key, op.StartAfter)
+		out.KeyValues, out.Truncated = service.list(request.Key, request.StartAfter)
 	case message.OpWatch:
-		if op.Revision < s.compactedRevision {
+		if request.Revision < service.compactedRevision {
 			out.Status = message.StoreCompacted
 			break
 		}
-		if out.KeyValues = s.changesSince(op.Key, op.Revision); len(out.KeyValues) == 0 && op.WatchTimeout > 0 {
-			s.watches = append(s.watches, &pendingWatch{op, now.Add(op.WatchTimeout), answer})
+		if out.KeyValues = service.changesSince(request.Key, request.Revision); len(out.KeyValues) == 0 && request.WatchTimeout > 0 {
+			service.watches = append(service.watches, &pendingWatch{request, now.Add(request.WatchTimeout), answer})
 			return
 		}
 	case message.OpLeaseGrant:
-		s.lastLeaseID++
-		s.leases[s.lastLeaseID] = &leaseState{op.TTL, now.Add(op.TTL)}
-		out.LeaseID = s.lastLeaseID
+		service.lastLeaseID++
+		service.leases[service.lastLeaseID] = &leaseState{request.TTL, now.Add(request.TTL)}
+		out.LeaseID = service.lastLeaseID
 	case message.OpLeaseRenew:
-		if l, ok := s.leases[op.LeaseID]; ok {
-			l.expiresAt = now.Add(l.ttl)
+		if lease, ok := service.leases[request.LeaseID]; ok {
+			lease.expiresAt = now.Add(lease.ttl)
 		} else {
 			out.Status = message.StoreNotFound
 		}
 	case message.OpLeaseRevoke:
-		if _, ok := s.leases[op.LeaseID]; ok {
-			s.revokeLease(op.LeaseID)
+		if _, ok := service.leases[request.LeaseID]; ok {
+			service.revokeLease(request.LeaseID)
 		} else {
 			out.Status = message.StoreNotFound
 		}
 	case message.OpTxn:
-		s.txn(op, &out)
+		service.txn(request, &out)
 	}
 	answer(out)
 }
@@ -242,17 +242,17 @@
 
 // list returns the first page of the records with a prefix whose keys are greater than startAfter,
 // and whether there are more.
-func (s *StateService) list(prefix, startAfter string) ([]message.KeyValue, bool) {
+func (service *StateService) list(prefix, startAfter string) ([]message.KeyValue, bool) {
 	var keys []string
-	for k := range s.records {
+	for k := range service.records {
 		if strings.HasPrefix(k, prefix) && k > startAfter {
 			keys = append(keys, k)
 		}
 	}
 	sort.Strings(keys)
 	page := listPage
-	if s.limits != nil {
-		page = s.limits.pageRows
+	if service.limits != nil {
+		page = service.limits.pageRows
 	}
 	more := len(keys) > page
 	if more {
@@ -261,49 +261,49 @@
 	var out []message.KeyValue
 	size := 0
 	for _, k := range keys {
-		if size += 3 * len(s.records[k].value); size > listBytes && len(out) > 0 {
+		if size += 3 * len(service.records[k].value); size > listBytes && len(out) > 0 {
 			return out, true
 		}
-		out = append(out, message.KeyValue{Key: k, Value: s.records[k].value, ModRevision: s.records[k].modRevision})
+		out = append(out, message.KeyValue{Key: k, Value: service.records[k].value, ModRevision: service.records[k].modRevision})
 	}
 	return out, more
 }
 
 // txn applies the writes of a transaction in one revision if all compares hold and all leases
 // exist.
-func (s *StateService) txn(op message.StoreRequest, out *message.StoreResponse) {
-	for _, a := range op.Writes {
-		if _, ok := s.leases[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
+func (service *StateService) txn(request message.StoreRequest, out *message.StoreResponse) {
+	for _, a := range request.Writes {
+		if _, ok := service.leases[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
 			out.Status = message.StoreNoLease
 			return
 		}
 	}
-	for _, c := range op.Compares {
+	for _, compare := range request.Compares {
 		var modRevision uint64
-		if r, ok := s.records[c.Key]; ok {
-			modRevision = r.modRevision
+		if rec, ok := service.records[compare.Key]; ok {
+			modRevision = rec.modRevision
 		}
-		if modRevision != c.ModRevision {
-			out.FailedKeys = append(out.FailedKeys, c.Key)
+		if modRevision != compare.ModRevision {
+			out.FailedKeys = append(out.FailedKeys, compare.Key)
 		}
 	}
 	if len(out.FailedKeys) > 0 {
 		out.Status = message.StoreConflict
 		return
 	}
-	if len(op.Writes) == 0 {
+	if len(request.Writes) == 0 {
 		return
 	}
-	s.revision++
-	s.writeCount += len(op.Writes)
-	for _, a := range op.Writes {
+	service.revision++
+	service.writeCount += len(request.Writes)
+	for _, a := range request.Writes {
 		if a.Value == nil {
-			s.remove(a.Key)
+			service.remove(a.Key)
 			continue
 		}
-		s.records[a.Key] = &storedRecord{a.Value, s.revision, a.LeaseID}
-		s.recordChange(message.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.revision})
+		service.records[a.Key] = &storedRecord{a.Value, service.revision, a.LeaseID}
+		service.recordChange(message.KeyValue{Key: a.Key, Value: a.Value, ModRevision: service.revision})
 	}
-	out.Revision = s.revision
-	s.notifyWatches()
+	out.Revision = service.revision
+	service.notifyWatches()
 }
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -35,7 +35,7 @@
 // SetLimits sets the limits on the size of values and transactions, and on requests and writes per
 // second with bursts of one second's worth. The limits stay as they are if the settings have no
 // sizes.
-func (s *StateService) SetLimits(settings controller.Settings) {
+func (service *StateService) SetLimits(settings controller.Settings) {
 	if settings.MaxTxnWrites == 0 || settings.MaxValueBytes == 0 {
 		return
 	}
@@ -45,7 +45,7 @@
 		}
 		return rate.NewLimiter(rate.Limit(rps), max(burst, int(rps)))
 	}
-	s.limits = &storeLimits{
+	service.limits = &storeLimits{
 		valueBytes: settings.MaxValueBytes, writesPerTxn: settings.MaxTxnWrites, pageRows: maxPageRows,
 		requests: limit(settings.StoreRequestsPerSecond, 1), writes: limit(settings.StoreWritesPerSecond, settings.MaxTxnWrites),
 	}
@@ -53,31 +53,31 @@
 
 // allow reports whether the rate limits allow a request, and counts the request. A transaction that
 // is refused because of its writes still counts as a request.
-func (l *storeLimits) allow(now time.Time, op *message.StoreRequest) bool {
-	return l.requests.AllowN(now, 1) && (len(op.Writes) == 0 || l.writes.AllowN(now, len(op.Writes)))
+func (limits *storeLimits) allow(now time.Time, request *message.StoreRequest) bool {
+	return limits.requests.AllowN(now, 1) && (len(request.Writes) == 0 || limits.writes.AllowN(now, len(request.Writes)))
 }
 
 // validate returns the reason why the protocol requires the answer 400 to a request, or nil if the
 // request is valid.
-func (l *storeLimits) validate(op *message.StoreRequest) error {
-	if op.Kind != message.OpTxn {
+func (limits *storeLimits) validate(request *message.StoreRequest) error {
+	if request.Kind != message.OpTxn {
 		return nil
 	}
-	if len(op.Writes) > l.writesPerTxn {
-		return fmt.Errorf("%d changes", len(op.Writes))
+	if len(request.Writes) > limits.writesPerTxn {
+		return fmt.Errorf("%d changes", len(request.Writes))
 	}
-	if len(op.Compares) > 4*l.writesPerTxn {
-		return fmt.Errorf("%d conditions", len(op.Compares))
+	if len(request.Compares) > 4*limits.writesPerTxn {
+		return fmt.Errorf("%d conditions", len(request.Compares))
 	}
 	whole := obj{}
 	var compares, writes []any
-	for _, c := range op.Compares {
-		if !isValidKey(c.Key) {
-			return fmt.Errorf("key %s", c.Key)
+	for _, compare := range request.Compares {
+		if !isValidKey(compare.Key) {
+			return fmt.Errorf("key %s", compare.Key)
 		}
-		compares = append(compares, obj{"key": c.Key, "stamp": c.ModRevision})
+		compares = append(compares, obj{"key": compare.Key, "stamp": compare.ModRevision})
 	}
-	for _, a := range op.Writes {
+	for _, a := range request.Writes {
 		if !isValidKey(a.Key) {
 			return fmt.Errorf("key %s", a.Key)
 		}
@@ -85,15 +85,15 @@
 			writes = append(writes, obj{"remove": a.Key})
 			continue
 		}
-		var v any
-		if err := msgpack.Unmarshal(a.Value, &v); err != nil {
+		var value any
+		if err := msgpack.Unmarshal(a.Value, &value); err != nil {
 			return fmt.Errorf("no value for %s", a.Key)
 		}
-		b, err := json.Marshal(v)
+		b, err := json.Marshal(value)
 		if err != nil {
 			return fmt.Errorf("no value for %s", a.Key)
 		}
-		if len(b) > l.valueBytes {
+		if len(b) > limits.valueBytes {
 			return fmt.Errorf("%d bytes for %s", len(b), a.Key)
 		}
 		writes = append(writes, obj{"put": a.Key, "value": json.RawMessage(b), "permit": a.LeaseID})
--- a/internal/simulation/unlisted_faults.go
+++ b/internal/simulation/unlisted_faults.go
@@ -33,31 +33,31 @@
 // provisioningTime draws how long a machine that is rented at this moment takes to become ready:
 // usually about the time of its machine type, sometimes several times as long. Rarely the machine
 // never becomes ready.
-func (w *World) provisioningTime(f model.MachineType) time.Duration {
-	d := w.jitter(f.ProvisioningTime)
-	if w.disturbances == nil {
-		return d
+func (world *World) provisioningTime(machineType model.MachineType) time.Duration {
+	duration := world.jitter(machineType.ProvisioningTime)
+	if world.disturbances == nil {
+		return duration
 	}
 	const never = 1000 * time.Hour
 	lateFraction, neverFraction, factor := 0.05, 0.01, 4.0
-	if w.now.Before(w.disturbances.slowProvisioningUntil) {
-		lateFraction, neverFraction, factor = 1, w.disturbances.neverReadyFraction, w.disturbances.provisioningFactor
+	if world.now.Before(world.disturbances.slowProvisioningUntil) {
+		lateFraction, neverFraction, factor = 1, world.disturbances.neverReadyFraction, world.disturbances.provisioningFactor
 	}
-	switch x := w.rng.Float64(); {
+	switch x := world.rng.Float64(); {
 	case x < neverFraction:
 		return never
 	case x < neverFraction+lateFraction:
-		return time.Duration(float64(d) * factor)
+		return time.Duration(float64(duration) * factor)
 	}
-	return d
+	return duration
 }
 
 // pollInterval returns how long a user waits before the next query, given the usual interval.
-func (w *World) pollInterval(d time.Duration) time.Duration {
-	if w.disturbances != nil && w.now.Before(w.disturbances.pollStormUntil) {
-		return time.Duration(float64(d) / w.disturbances.pollFactor)
+func (world *World) pollInterval(duration time.Duration) time.Duration {
+	if world.disturbances != nil && world.now.Before(world.disturbances.pollStormUntil) {
+		return time.Duration(float64(duration) / world.disturbances.pollFactor)
 	}
-	return d
+	return duration
 }
 
 // unlistedKinds are the kinds of this file, and the listed kinds that are more frequent on days
@@ -67,85 +67,85 @@
 
 // generateUnlistedFaults adds unlisted faults to a day, and possibly jobs that always fail and a
 // guest team. It has its own random stream, so that the rest of the day stays the same.
-func generateUnlistedFaults(d *Day) {
-	rng := rand.New(rand.NewPCG(d.Seed, 1618))
-	d.failingFraction = []float64{0, 0.04, 0.04, 0.1}[rng.IntN(4)]
+func generateUnlistedFaults(day *Day) {
+	rng := rand.New(rand.NewPCG(day.Seed, 1618))
+	day.failingFraction = []float64{0, 0.04, 0.04, 0.1}[rng.IntN(4)]
 	if rng.IntN(2) == 0 {
-		d.guestTeam = "guest"
-		d.Settings.Teams = append(slices.Clone(d.Settings.Teams), model.Team{Name: d.guestTeam})
+		day.guestTeam = "guest"
+		day.Settings.Teams = append(slices.Clone(day.Settings.Teams), model.Team{Name: day.guestTeam})
 	}
 	for range 1 + rng.IntN(6) {
-		f := Fault{
-			Kind: unlistedKinds[rng.IntN(len(unlistedKinds))], At: time.Duration(10+rng.IntN(d.Minutes*60-20)) * time.Second,
-			Duration: time.Duration(10+rng.IntN(110)) * time.Second, Controller: rng.IntN(d.Controllers), HoldMessages: rng.IntN(2) == 0,
+		fault := Fault{
+			Kind: unlistedKinds[rng.IntN(len(unlistedKinds))], At: time.Duration(10+rng.IntN(day.Minutes*60-20)) * time.Second,
+			Duration: time.Duration(10+rng.IntN(110)) * time.Second, Controller: rng.IntN(day.Controllers), HoldMessages: rng.IntN(2) == 0,
 			Fraction: []float64{0.05, 0.3, 1, 4, 8, 30}[rng.IntN(6)], Link: []string{"state", "workers", "*", "cloud"}[rng.IntN(4)],
 			RestartAfter: []time.Duration{50, 200, 500, 1000}[rng.IntN(4)] * time.Millisecond,
 		}
-		switch f.Kind {
+		switch fault.Kind {
 		case "boots", "polls":
-			f.Link = ""
+			fault.Link = ""
 		case "lazy", "capacity", "faulty":
-			f.Link, f.Fraction = "", []float64{0.02, 0.1, 0.3}[rng.IntN(3)]
+			fault.Link, fault.Fraction = "", []float64{0.02, 0.1, 0.3}[rng.IntN(3)]
 		case "cut", "one_way":
-			f.Fraction = 0
+			fault.Fraction = 0
 		default:
-			f.Link, f.Fraction = "", 0
+			fault.Link, fault.Fraction = "", 0
 		}
-		d.Faults = append(d.Faults, f)
+		day.Faults = append(day.Faults, fault)
 	}
-	d.sortFaults()
+	day.sortFaults()
 }
 
 // startUnlistedFault begins a fault if its kind belongs to this file, and reports whether it does.
-func (w *World) startUnlistedFault(f Fault, rng *rand.Rand) bool {
-	switch f.Kind {
+func (world *World) startUnlistedFault(fault Fault, rng *rand.Rand) bool {
+	switch fault.Kind {
 	case "boots":
-		w.disturbances.slowProvisioningUntil, w.disturbances.provisioningFactor, w.disturbances.neverReadyFraction = w.now.Add(f.Duration), f.Fraction, 0
-		if f.Fraction == 1 {
-			w.disturbances.neverReadyFraction = 0.5
+		world.disturbances.slowProvisioningUntil, world.disturbances.provisioningFactor, world.disturbances.neverReadyFraction = world.now.Add(fault.Duration), fault.Fraction, 0
+		if fault.Fraction == 1 {
+			world.disturbances.neverReadyFraction = 0.5
 		}
 	case "polls":
-		w.disturbances.pollStormUntil, w.disturbances.pollFactor = w.now.Add(f.Duration), max(2, f.Fraction)
+		world.disturbances.pollStormUntil, world.disturbances.pollFactor = world.now.Add(fault.Duration), max(2, fault.Fraction)
 	case "again":
 		for k := range 10 {
-			w.schedule(time.Duration(k)*f.Duration/10, func() { w.CrashController(f.Controller%len(w.controllers), f.RestartAfter) })
+			world.schedule(time.Duration(k)*fault.Duration/10, func() { world.CrashController(fault.Controller%len(world.controllers), fault.RestartAfter) })
 		}
 	case "again_all":
 		for k := range 3 {
-			for i := range w.controllers {
-				w.schedule(time.Duration(k)*f.Duration/4, func() { w.CrashController(i, f.RestartAfter) })
+			for i := range world.controllers {
+				world.schedule(time.Duration(k)*fault.Duration/4, func() { world.CrashController(i, fault.RestartAfter) })
 			}
 		}
 	case "one_way":
 		// Either the messages of the controller or the messages to it are lost.
-		name := w.controllers[f.Controller%len(w.controllers)].name
-		if f.HoldMessages {
-			w.partitionOneWay(name, f.Link, f.Duration)
+		name := world.controllers[fault.Controller%len(world.controllers)].name
+		if fault.HoldMessages {
+			world.partitionOneWay(name, fault.Link, fault.Duration)
 		} else {
-			w.partitionOneWay(f.Link, name, f.Duration)
+			world.partitionOneWay(fault.Link, name, fault.Duration)
 		}
 	case "slow_answers":
-		w.disturbances.slowAnswersUntil, w.disturbances.answerDelay = w.now.Add(f.Duration), 700*time.Millisecond
+		world.disturbances.slowAnswersUntil, world.disturbances.answerDelay = world.now.Add(fault.Duration), 700*time.Millisecond
 	case "lazy":
-		w.forSample(f.Fraction, rng, func(m *Worker) { m.ignoresStarts = true })
+		world.forSample(fault.Fraction, rng, func(machine *Worker) { machine.ignoresStarts = true })
 	case "faulty":
-		w.forSample(f.Fraction, rng, func(m *Worker) { m.faulty = true })
+		world.forSample(fault.Fraction, rng, func(machine *Worker) { machine.faulty = true })
 	case "capacity":
-		for _, k := range sortedKeys(w.cloudCapacity) {
-			gone := int(float64(w.cloudCapacity[k]) * (1 - f.Fraction))
-			w.cloudCapacity[k] -= gone
-			w.schedule(f.Duration, func() { w.cloudCapacity[k] += gone })
+		for _, k := range sortedKeys(world.cloudCapacity) {
+			gone := int(float64(world.cloudCapacity[k]) * (1 - fault.Fraction))
+			world.cloudCapacity[k] -= gone
+			world.schedule(fault.Duration, func() { world.cloudCapacity[k] += gone })
 		}
 	case "price":
-		for _, k := range sortedKeys(w.machineTypes) {
-			x := w.machineTypes[k]
-			old := x.SpotCostPerHour
-			x.SpotCostPerHour *= 0.67 + 0.66*rng.Float64()
-			w.machineTypes[k] = x
-			w.schedule(f.Duration, func() {
-				x := w.machineTypes[k]
-				x.SpotCostPerHour = old
-				w.machineTypes[k] = x
+		for _, k := range sortedKeys(world.machineTypes) {
+			machineType := world.machineTypes[k]
+			old := machineType.SpotCostPerHour
+			machineType.SpotCostPerHour *= 0.67 + 0.66*rng.Float64()
+			world.machineTypes[k] = machineType
+			world.schedule(fault.Duration, func() {
+				machineType := world.machineTypes[k]
+				machineType.SpotCostPerHour = old
+				world.machineTypes[k] = machineType
 			})
 		}
 	default:
@@ -157,23 +157,23 @@
 // submitGuestJobs schedules the jobs of the guest team, if there is one, from a third of the day
 // on: some long jobs without an SLO, one job of very many short tasks, and many jobs of a single
 // task.
-func (d *Day) submitGuestJobs(w *World, rng *rand.Rand, span time.Duration) {
-	if d.guestTeam == "" {
+func (day *Day) submitGuestJobs(world *World, rng *rand.Rand, span time.Duration) {
+	if day.guestTeam == "" {
 		return
 	}
-	long := model.JobSpec{Workload: "recount", Urgency: model.BestEffort, Tasks: max(2, d.Machines/8), Need: model.Resources{CPU: 4, Memory: 8}, AllowSpot: true, ExpectedRunTime: 50 * time.Second}
-	huge := model.JobSpec{Workload: "rebuild", Urgency: model.BestEffort, Tasks: 40 * max(5, min(d.Machines, 250)), Need: model.Resources{CPU: 0.25, Memory: 0.5}, AllowSpot: true, ExpectedRunTime: 4 * time.Second}
+	long := model.JobSpec{Workload: "recount", Urgency: model.BestEffort, Tasks: max(2, day.Machines/8), Need: model.Resources{CPU: 4, Memory: 8}, AllowSpot: true, ExpectedRunTime: 50 * time.Second}
+	huge := model.JobSpec{Workload: "rebuild", Urgency: model.BestEffort, Tasks: 40 * max(5, min(day.Machines, 250)), Need: model.Resources{CPU: 0.25, Memory: 0.5}, AllowSpot: true, ExpectedRunTime: 4 * time.Second}
 	single := model.JobSpec{Workload: "lookups", Urgency: model.Normal, Tasks: 1, Need: model.Resources{CPU: 1, Memory: 2}, AllowSpot: true, ExpectedRunTime: 5 * time.Second}
-	add := func(s model.JobSpec, at time.Duration) {
-		s.ID, s.Team, s.Image, s.ImageGB = w.nextJobID(), d.guestTeam, s.Workload, 0.5
-		w.schedule(at, func() { w.Submit(s, s.ExpectedRunTime, false) })
+	add := func(spec model.JobSpec, at time.Duration) {
+		spec.ID, spec.Team, spec.Image, spec.ImageGB = world.nextJobID(), day.guestTeam, spec.Workload, 0.5
+		world.schedule(at, func() { world.Submit(spec, spec.ExpectedRunTime, false) })
 	}
 	at := span / 3
 	for range 3 {
 		add(long, at+time.Duration(rng.Float64()*float64(span/6)))
 	}
 	add(huge, at)
-	for range max(5, d.Machines/8) {
+	for range max(5, day.Machines/8) {
 		add(single, at+time.Duration(rng.Float64()*float64(span/3)))
 	}
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -76,9 +76,9 @@
 
 // saveCheckpoint records the run time that task i has left at a checkpoint, unless the recorded
 // time is shorter.
-func (j *userJob) saveCheckpoint(i int, remaining time.Duration) {
-	if old, ok := j.checkpoints[i]; !ok || remaining < old {
-		j.checkpoints[i] = remaining
+func (job *userJob) saveCheckpoint(i int, remaining time.Duration) {
+	if old, ok := job.checkpoints[i]; !ok || remaining < old {
+		job.checkpoints[i] = remaining
 	}
 }
 
@@ -90,289 +90,290 @@
 
 // Submit submits a job, repeats the submission until the job is accepted or permanently refused,
 // and then queries an accepted job regularly.
-func (w *World) Submit(spec model.JobSpec, run time.Duration, alwaysFails bool) {
-	j := newUserJob(spec, run)
-	j.alwaysFails = alwaysFails
-	w.submitJob(j)
+func (world *World) Submit(spec model.JobSpec, run time.Duration, alwaysFails bool) {
+	job := newUserJob(spec, run)
+	job.alwaysFails = alwaysFails
+	world.submitJob(job)
 }
 
 // submitJob is Submit for a job that newUserJob returned.
-func (w *World) submitJob(j *userJob) {
-	j.submitted = w.now
-	w.jobs[j.spec.ID] = j
-	w.linkDependencies(j)
-	w.trySubmit(j)
+func (world *World) submitJob(job *userJob) {
+	job.submitted = world.now
+	world.jobs[job.spec.ID] = job
+	world.linkDependencies(job)
+	world.trySubmit(job)
 }
 
 // userRequest sends a user's request to a random controller. onReply gets the answer, or nil if
 // none arrives by the deadline. newCommand makes the command from the request number.
-func (w *World) userRequest(newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
-	w.userRequestTo(-1, newCommand, deadline, onReply)
+func (world *World) userRequest(newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
+	world.userRequestTo(-1, newCommand, deadline, onReply)
 }
 
 // userRequestTo is userRequest with the index of the controller; -1 means a random one.
-func (w *World) userRequestTo(to int, newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
-	requestedAt := w.now
-	fn := func(r *message.UserReply) {
-		if r != nil && w.onAnswer != nil {
-			w.onAnswer(requestedAt, *r)
+func (world *World) userRequestTo(to int, newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
+	requestedAt := world.now
+	fn := func(reply *message.UserReply) {
+		if reply != nil && world.onAnswer != nil {
+			world.onAnswer(requestedAt, *reply)
 		}
-		if r != nil && r.Status == http.StatusServiceUnavailable {
-			w.RefusedRequests++
+		if reply != nil && reply.Status == http.StatusServiceUnavailable {
+			world.RefusedRequests++
 		}
-		onReply(r)
+		onReply(reply)
 	}
-	p := w.controllers[w.rng.IntN(len(w.controllers))]
+	process := world.controllers[world.rng.IntN(len(world.controllers))]
 	if to >= 0 {
-		p = w.controllers[to]
+		process = world.controllers[to]
 	}
 	finished := false
-	finish := func(r *message.UserReply) {
+	finish := func(reply *message.UserReply) {
 		if !finished {
 			finished = true
-			fn(r)
+			fn(reply)
 		}
 	}
-	w.schedule(deadline, func() { finish(nil) })
-	if !p.controller.Healthy(w.now) || !p.alive {
+	world.schedule(deadline, func() { finish(nil) })
+	if !process.controller.Healthy(world.now) || !process.alive {
 		return
 	}
-	w.sendMessage("user", p.name, func() {
-		p.request(newCommand, func(e message.Effect) {
-			r := e.(message.UserReply)
-			w.sendMessage(p.name, "user", func() { finish(&r) })
+	world.sendMessage("user", process.name, func() {
+		process.request(newCommand, func(effect message.Effect) {
+			reply := effect.(message.UserReply)
+			world.sendMessage(process.name, "user", func() { finish(&reply) })
 		})
 	})
 }
 
 // trySubmit sends the submission of a job. It schedules another attempt if the answer is neither an
 // acceptance nor a permanent refusal.
-func (w *World) trySubmit(j *userJob) {
-	requestedAt := w.now
-	w.userRequest(func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *message.UserReply) {
+func (world *World) trySubmit(job *userJob) {
+	requestedAt := world.now
+	world.userRequest(func(reply uint64) message.Command { return message.SubmitJob{Reply: reply, Spec: job.spec} }, 5*time.Second, func(reply *message.UserReply) {
 		switch {
-		case r != nil && (r.Status == http.StatusCreated || r.Status == http.StatusOK):
-			if j.invalid {
-				w.violate("accepted_wrongly", "%s needs %v", j.spec.ID, j.spec.Dependencies)
+		case reply != nil && (reply.Status == http.StatusCreated || reply.Status == http.StatusOK):
+			if job.invalid {
+				world.violate("accepted_wrongly", "%s needs %v", job.spec.ID, job.spec.Dependencies)
 			}
-			w.checkAnswer(j, requestedAt, r)
-			w.schedule(w.jitter(5*time.Second), func() { w.poll(j) })
-		case r != nil && (r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity):
-			j.refusedStatus = r.Status
-			if j.accepted {
-				w.violate("forgotten", "%s answered %d", j.spec.ID, r.Status)
+			world.checkAnswer(job, requestedAt, reply)
+			world.schedule(world.jitter(5*time.Second), func() { world.poll(job) })
+		case reply != nil && (reply.Status == http.StatusBadRequest || reply.Status == http.StatusUnprocessableEntity):
+			job.refusedStatus = reply.Status
+			if job.accepted {
+				world.violate("forgotten", "%s answered %d", job.spec.ID, reply.Status)
 			}
-			if j.dependenciesAccepted && !j.invalid {
-				w.violate("refused_wrongly", "%s, which needs %v, answered %d: %s", j.spec.ID, j.spec.Dependencies, r.Status, r.Message)
+			if job.dependenciesAccepted && !job.invalid {
+				world.violate("refused_wrongly", "%s, which needs %v, answered %d: %s", job.spec.ID, job.spec.Dependencies, reply.Status, reply.Message)
 			}
 		default:
-			w.schedule(w.jitter(time.Second), func() { w.trySubmit(j) })
+			world.schedule(world.jitter(time.Second), func() { world.trySubmit(job) })
 		}
 	})
 }
 
 // poll queries a job and schedules the next query.
-func (w *World) poll(j *userJob) {
-	requestedAt := w.now
-	w.userRequestTo(w.stickyController(j), func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *message.UserReply) {
-		if r != nil && (r.Status == http.StatusOK || r.Status == http.StatusNotFound) {
-			w.checkAnswer(j, requestedAt, r)
+func (world *World) poll(job *userJob) {
+	requestedAt := world.now
+	world.userRequestTo(world.stickyController(job), func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: job.spec.ID} }, 2*time.Second, func(reply *message.UserReply) {
+		if reply != nil && (reply.Status == http.StatusOK || reply.Status == http.StatusNotFound) {
+			world.checkAnswer(job, requestedAt, reply)
 		}
-		w.checkPollsAnswered(j)
+		world.checkPollsAnswered(job)
 		// Jobs in a final state are queried as well, to check that the state does not change.
-		pause := w.pollInterval(5 * time.Second)
-		if j.lastState == "done" || j.lastState == "cancelled" {
+		pause := world.pollInterval(5 * time.Second)
+		if job.lastState == "done" || job.lastState == "cancelled" {
 			pause = 30 * time.Second
-			if !w.faultsEndAt.IsZero() && w.now.After(w.faultsEndAt) {
+			if !world.faultsEndAt.IsZero() && world.now.After(world.faultsEndAt) {
 				pause = endedPollInterval
 			}
 		}
-		w.schedule(w.jitter(pause), func() { w.poll(j) })
+		world.schedule(world.jitter(pause), func() { world.poll(job) })
 	})
 }
 
-// Cancel cancels a submitted job and repeats the request until a controller confirms it.
-func (w *World) Cancel(id string) {
-	j, requestedAt := w.jobs[id], w.now
-	j.cancelRequested = true
-	w.userRequest(func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
-		if r == nil || r.Status != http.StatusOK {
-			w.schedule(w.jitter(time.Second), func() { w.Cancel(id) })
+// Cancel cancels a submitted job and repeats the request until a controller confirms the
+// cancellation.
+func (world *World) Cancel(id string) {
+	job, requestedAt := world.jobs[id], world.now
+	job.cancelRequested = true
+	world.userRequest(func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} }, 5*time.Second, func(reply *message.UserReply) {
+		if reply == nil || reply.Status != http.StatusOK {
+			world.schedule(world.jitter(time.Second), func() { world.Cancel(id) })
 			return
 		}
-		w.checkAnswer(j, requestedAt, r)
+		world.checkAnswer(job, requestedAt, reply)
 	})
 }
 
 // QueryUnknownJob queries an id of which no job was submitted and checks that no controller knows
 // such a job.
-func (w *World) QueryUnknownJob(id string) {
-	w.userRequest(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
-		if r != nil && r.Status == http.StatusOK {
-			w.violate("invented", "%s", id)
+func (world *World) QueryUnknownJob(id string) {
+	world.userRequest(func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} }, 2*time.Second, func(reply *message.UserReply) {
+		if reply != nil && reply.Status == http.StatusOK {
+			world.violate("invented", "%s", id)
 		}
 	})
 }
 
 // checkAnswer checks an answer about a job against what the user knows, and updates what the user
 // knows. requestedAt is the time when the user sent the request.
-func (w *World) checkAnswer(j *userJob, requestedAt time.Time, r *message.UserReply) {
-	id := j.spec.ID
-	if r.Status == http.StatusNotFound {
-		if j.accepted {
-			w.violate("forgotten", "%s answered 404", id)
+func (world *World) checkAnswer(job *userJob, requestedAt time.Time, reply *message.UserReply) {
+	id := job.spec.ID
+	if reply.Status == http.StatusNotFound {
+		if job.accepted {
+			world.violate("forgotten", "%s answered 404", id)
 		}
 		return
 	}
-	j.promisedAtFirst = j.promisedAtFirst || !j.accepted && r.PromiseRevision > 0
-	w.checkPollsAnswered(j)
-	w.checkOrphan(j, r)
-	isNew := !j.accepted || isFinal(r.State) && j.lastState != r.State
-	j.accepted, j.answeredAt = true, w.now
-	if r.PromiseRevision > 0 {
+	job.promisedAtFirst = job.promisedAtFirst || !job.accepted && reply.PromiseRevision > 0
+	world.checkPollsAnswered(job)
+	world.checkOrphan(job, reply)
+	isNew := !job.accepted || isFinal(reply.State) && job.lastState != reply.State
+	job.accepted, job.answeredAt = true, world.now
+	if reply.PromiseRevision > 0 {
 		// The answer to a cancellation may overtake the answer to a query, so revisions are
 		// compared only before the user cancels.
-		if r.PromiseRevision < j.promiseRevision && !j.cancelRequested || r.PromiseRevision == j.promiseRevision && r.PromisedAfter != j.promised {
-			w.violate("older_date", "%s was promised %v as revision %d, then %v as %d", id, j.promised, j.promiseRevision, r.PromisedAfter, r.PromiseRevision)
+		if reply.PromiseRevision < job.promiseRevision && !job.cancelRequested || reply.PromiseRevision == job.promiseRevision && reply.PromisedAfter != job.promised {
+			world.violate("older_date", "%s was promised %v as revision %d, then %v as %d", id, job.promised, job.promiseRevision, reply.PromisedAfter, reply.PromiseRevision)
 		}
-		if r.PromiseRevision >= j.promiseRevision {
-			j.promiseRevision, j.promised = r.PromiseRevision, r.PromisedAfter
+		if reply.PromiseRevision >= job.promiseRevision {
+			job.promiseRevision, job.promised = reply.PromiseRevision, reply.PromisedAfter
 		}
 	}
 	switch {
-	case (j.lastState == "done" || j.lastState == "cancelled") && r.State != j.lastState:
+	case (job.lastState == "done" || job.lastState == "cancelled") && reply.State != job.lastState:
 		// Users send several requests at a time. Another controller may answer an older state if
 		// the request was sent before the user knew the final state.
-		if !requestedAt.Before(j.lastStateAt) {
-			w.violate("went_back", "%s was %s, is called %s", id, j.lastState, r.State)
+		if !requestedAt.Before(job.lastStateAt) {
+			world.violate("went_back", "%s was %s, is called %s", id, job.lastState, reply.State)
 		}
 		return
-	case r.State == "done" && len(j.doneTasks) < j.spec.Tasks:
-		w.violate("not_done", "%s with %d of %d", id, len(j.doneTasks), j.spec.Tasks)
-	case r.State == "cancelled" && !j.isCancelled():
-		w.violate("went_back", "%s cancelled by nobody", id)
+	case reply.State == "done" && len(job.doneTasks) < job.spec.Tasks:
+		world.violate("not_done", "%s with %d of %d", id, len(job.doneTasks), job.spec.Tasks)
+	case reply.State == "cancelled" && !job.isCancelled():
+		world.violate("went_back", "%s cancelled by nobody", id)
 	}
-	if j.lastState != r.State {
-		j.lastState, j.lastStateAt = r.State, w.now
-		if r.State == "done" || r.State == "cancelled" {
-			j.finished = w.now
+	if job.lastState != reply.State {
+		job.lastState, job.lastStateAt = reply.State, world.now
+		if reply.State == "done" || reply.State == "cancelled" {
+			job.finished = world.now
 		}
 	}
 	if isNew {
-		w.readConcurrently(j)
+		world.readConcurrently(job)
 	}
-	j.runHooks()
+	job.runHooks()
 }
 
-// checkStart checks the rules for a task that starts to run on m, and counts the start.
-func (w *World) checkStart(m *Worker, t *workerTask) {
-	w.Starts++
-	j := t.job
-	s := &j.spec
-	name := taskName(s.ID, t.index)
-	if j.firstStarts[t.index].IsZero() {
-		j.firstStarts[t.index] = w.now
+// checkStart checks the rules for a task that starts to run on machine, and counts the start.
+func (world *World) checkStart(machine *Worker, task *workerTask) {
+	world.Starts++
+	job := task.job
+	spec := &job.spec
+	name := taskName(spec.ID, task.index)
+	if job.firstStarts[task.index].IsZero() {
+		job.firstStarts[task.index] = world.now
 	}
-	w.replicaUp(t)
-	w.checkDependencies(j, name)
+	world.replicaUp(task)
+	world.checkDependencies(job, name)
 	zones := map[string]int{}
-	w.eachPlacedTask(j, func(i int, o *Worker, x *workerTask) {
-		if x == t {
+	world.eachPlacedTask(job, func(i int, otherMachine *Worker, otherTask *workerTask) {
+		if otherTask == task {
 			return
 		}
-		if x.index == t.index {
-			w.violate("ran_twice", "%s on %s and %s", name, m.ID, o.ID)
+		if otherTask.index == task.index {
+			world.violate("ran_twice", "%s on %s and %s", name, machine.ID, otherMachine.ID)
 		}
-		zones[o.Zone]++
-	}, t.index)
-	team := w.team(s.Team)
-	if u := w.teamUsage[s.Team]; team.QuotaLimit.CPU > 0 && u.CPU > team.QuotaLimit.CPU+1e-6 || team.QuotaLimit.GPU > 0 && u.GPU > team.QuotaLimit.GPU+1e-6 {
-		w.violate("quota", "%s uses %v", s.Team, u)
+		zones[otherMachine.Zone]++
+	}, task.index)
+	team := world.team(spec.Team)
+	if usage := world.teamUsage[spec.Team]; team.QuotaLimit.CPU > 0 && usage.CPU > team.QuotaLimit.CPU+1e-6 || team.QuotaLimit.GPU > 0 && usage.GPU > team.QuotaLimit.GPU+1e-6 {
+		world.violate("quota", "%s uses %v", spec.Team, usage)
 	}
-	if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, m.MachineType) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot {
-		w.violate("wrong_place", "%s on %s", name, m.ID)
+	if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.MachineType) || spec.Zone != "" && spec.Zone != machine.Zone || machine.Spot && !spec.AllowSpot {
+		world.violate("wrong_place", "%s on %s", name, machine.ID)
 	}
-	if s.SameZone && len(zones) > 0 && zones[m.Zone] == 0 {
-		w.violate("wrong_place", "%s not with the others", name)
+	if spec.SameZone && len(zones) > 0 && zones[machine.Zone] == 0 {
+		world.violate("wrong_place", "%s not with the others", name)
 	}
-	if s.SpreadZones && zones[m.Zone]+1 > (s.Tasks+1)/2 {
-		w.violate("wrong_place", "%s too many in %s", name, m.Zone)
+	if spec.SpreadZones && zones[machine.Zone]+1 > (spec.Tasks+1)/2 {
+		world.violate("wrong_place", "%s too many in %s", name, machine.Zone)
 	}
-	if !j.cancelledAt.IsZero() {
-		w.StartsAfterCancel++
-		w.recordMargin(RuleCancelled, w.cancelWithin-w.now.Sub(j.cancelledAt), m.ID+" "+name)
+	if !job.cancelledAt.IsZero() {
+		world.StartsAfterCancel++
+		world.recordMargin(RuleCancelled, world.cancelWithin-world.now.Sub(job.cancelledAt), machine.ID+" "+name)
 	}
-	if w.isCancelOverdue(j) {
-		w.violate("ran_cancelled", "%s started", name)
+	if world.isCancelOverdue(job) {
+		world.violate("ran_cancelled", "%s started", name)
 	}
 }
 
 // noteCancelConfirmed handles an answer that a controller sends to a user. If it is the first one
 // that says that the job is cancelled, noteCancelConfirmed sets cancelledAt.
-func (w *World) noteCancelConfirmed(r message.UserReply) {
-	j := w.jobs[r.ID]
-	if j == nil {
+func (world *World) noteCancelConfirmed(reply message.UserReply) {
+	job := world.jobs[reply.ID]
+	if job == nil {
 		return
 	}
-	w.checkOrphan(j, &r)
-	if r.Status == http.StatusOK && r.State == "cancelled" && j.cancelledAt.IsZero() {
-		j.cancelledAt = w.now
-		w.checkDependents(j)
+	world.checkOrphan(job, &reply)
+	if reply.Status == http.StatusOK && reply.State == "cancelled" && job.cancelledAt.IsZero() {
+		job.cancelledAt = world.now
+		world.checkDependents(job)
 	}
 }
 
 // isCancelOverdue reports whether a job has been cancelled for so long that all its tasks must have
 // ended.
-func (w *World) isCancelOverdue(j *userJob) bool {
-	since := j.cancelledSince()
-	return !since.IsZero() && w.now.Sub(since) > w.cancelWithin
+func (world *World) isCancelOverdue(job *userJob) bool {
+	since := job.cancelledSince()
+	return !since.IsZero() && world.now.Sub(since) > world.cancelWithin
 }
 
 // eachPlacedTask calls fn with the attempts of one task that take resources of machines. If the job
 // restricts the zones of its tasks relative to each other, eachPlacedTask calls fn for all tasks of
 // the job. It also forgets machines that have no attempt of the task.
-func (w *World) eachPlacedTask(j *userJob, fn func(int, *Worker, *workerTask), index int) {
+func (world *World) eachPlacedTask(job *userJob, fn func(int, *Worker, *workerTask), index int) {
 	scanTask := func(i int) {
-		j.machines[i] = slices.DeleteFunc(j.machines[i], func(m *Worker) bool {
-			there := false
-			for _, x := range m.tasks {
-				if x.job == j && x.index == i {
-					there = true
-					if x.onMachine() {
-						fn(i, m, x)
+		job.machines[i] = slices.DeleteFunc(job.machines[i], func(machine *Worker) bool {
+			found := false
+			for _, other := range machine.tasks {
+				if other.job == job && other.index == i {
+					found = true
+					if other.onMachine() {
+						fn(i, machine, other)
 					}
 				}
 			}
-			return !there
+			return !found
 		})
 	}
-	if !j.spec.SameZone && !j.spec.SpreadZones {
+	if !job.spec.SameZone && !job.spec.SpreadZones {
 		scanTask(index)
 		return
 	}
-	for i := range j.machines {
+	for i := range job.machines {
 		scanTask(i)
 	}
 }
 
 // team returns the team with a name, or the zero Team if there is none.
-func (w *World) team(name string) model.Team {
-	for _, t := range w.settings.Teams {
-		if t.Name == name {
-			return t
+func (world *World) team(name string) model.Team {
+	for _, team := range world.settings.Teams {
+		if team.Name == name {
+			return team
 		}
 	}
 	return model.Team{}
 }
 
 // checkReplySize checks that the answer to a heartbeat does not exceed maxBodyBytes.
-func (w *World) checkReplySize(a message.HeartbeatReply) {
+func (world *World) checkReplySize(reply message.HeartbeatReply) {
 	size := 0
-	for _, o := range a.Commands {
-		size += len(o.Job) + commandBytes
+	for _, command := range reply.Commands {
+		size += len(command.Job) + commandBytes
 	}
 	if size > maxBodyBytes {
-		w.violate("malformed", "an answer to a worker of %d bytes", size)
+		world.violate("malformed", "an answer to a worker of %d bytes", size)
 	}
 }
 
@@ -386,21 +387,21 @@
 // checkCancellations checks on all machines that the tasks of cancelled jobs end in time. This
 // includes machines that hang, can't be reached or reach no controller, whose tasks run until the
 // worker lease expires. A task whose image was fetched while its machine hung counts as running.
-func (w *World) checkCancellations() {
-	for _, m := range w.fleet {
-		for _, t := range m.tasks {
-			fetched := t.status == model.Fetching && !t.imageReadyAt.After(w.now)
-			if !t.onMachine() && !fetched || t.violationReported {
+func (world *World) checkCancellations() {
+	for _, machine := range world.fleet {
+		for _, task := range machine.tasks {
+			fetched := task.status == model.Fetching && !task.imageReadyAt.After(world.now)
+			if !task.onMachine() && !fetched || task.violationReported {
 				continue
 			}
-			since := t.job.cancelledSince()
+			since := task.job.cancelledSince()
 			if since.IsZero() {
 				continue
 			}
-			w.recordMargin(RuleCancelled, w.cancelWithin-w.now.Sub(since), m.ID+" "+t.job.spec.ID)
-			if w.isCancelOverdue(t.job) {
-				t.violationReported = true
-				w.violate("ran_cancelled", "%s on %s", taskName(t.job.spec.ID, t.index), m.ID)
+			world.recordMargin(RuleCancelled, world.cancelWithin-world.now.Sub(since), machine.ID+" "+task.job.spec.ID)
+			if world.isCancelOverdue(task.job) {
+				task.violationReported = true
+				world.violate("ran_cancelled", "%s on %s", taskName(task.job.spec.ID, task.index), machine.ID)
 			}
 		}
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -113,58 +113,58 @@
 func taskName(job string, i int) string { return fmt.Sprintf("%s/%d", job, i) }
 
 // up reports whether the worker runs and does not hang.
-func (m *Worker) up(now time.Time) bool {
-	return !m.dead && !m.released && !now.Before(m.upAt) && !now.Before(m.hungUntil)
+func (machine *Worker) up(now time.Time) bool {
+	return !machine.dead && !machine.released && !now.Before(machine.upAt) && !now.Before(machine.hungUntil)
 }
 
 // onMachine reports whether the attempt takes resources of its machine.
-func (t *workerTask) onMachine() bool {
-	return t.status == model.Running || t.status == model.Checkpointing
+func (task *workerTask) onMachine() bool {
+	return task.status == model.Running || task.status == model.Checkpointing
 }
 
 // heartbeat returns the worker's next heartbeat and increments the sequence number.
-func (m *Worker) heartbeat(now time.Time) model.Heartbeat {
-	m.sequence++
-	r := model.Heartbeat{
-		Machine: m.ID, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot,
-		Incarnation: m.incarnation, Sequence: m.sequence, Epoch: m.epoch, ReclaimIn: -1,
+func (machine *Worker) heartbeat(now time.Time) model.Heartbeat {
+	machine.sequence++
+	heartbeat := model.Heartbeat{
+		Machine: machine.ID, Addr: machine.Addr, MachineType: machine.MachineType, Zone: machine.Zone, Spot: machine.Spot,
+		Incarnation: machine.incarnation, Sequence: machine.sequence, Epoch: machine.epoch, ReclaimIn: -1,
 	}
-	if !m.reclaimAt.IsZero() {
-		r.ReclaimIn = max(0, m.reclaimAt.Sub(now))
+	if !machine.reclaimAt.IsZero() {
+		heartbeat.ReclaimIn = max(0, machine.reclaimAt.Sub(now))
 	}
-	for _, k := range sortedKeys(m.tasks) {
-		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, model.TaskReport{Job: t.job.spec.ID, Index: t.index, Attempt: t.attempt, Status: t.status, Cause: t.cause, CheckpointStored: t.checkpointed})
+	for _, k := range sortedKeys(machine.tasks) {
+		task := machine.tasks[k]
+		heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: task.job.spec.ID, Index: task.index, Attempt: task.attempt, Status: task.status, Cause: task.cause, CheckpointStored: task.checkpointed})
 	}
-	return r
+	return heartbeat
 }
 
 // executeCommands executes task commands on a worker, in their order. A command for an unknown or
 // ended attempt has no effect where it doesn't apply.
-func (w *World) executeCommands(m *Worker, commands []model.TaskCommand) {
-	for _, o := range commands {
-		key := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
-		t := m.tasks[key]
-		switch o.Kind {
+func (world *World) executeCommands(machine *Worker, commands []model.TaskCommand) {
+	for _, command := range commands {
+		key := fmt.Sprintf("%s#%d", taskName(command.Job, command.Index), command.Attempt)
+		task := machine.tasks[key]
+		switch command.Kind {
 		case model.StartTask:
-			if t == nil && !m.ignoresStarts {
-				w.startTask(m, o, key)
+			if task == nil && !machine.ignoresStarts {
+				world.startTask(machine, command, key)
 			}
 		case model.StopTask:
-			if t == nil || t.status == model.Ended {
+			if task == nil || task.status == model.Ended {
 				continue
 			}
-			savesCheckpoint := t.job.spec.CheckpointInterval > 0 && t.status == model.Running && o.GracePeriod >= t.job.spec.CheckpointCost
+			savesCheckpoint := task.job.spec.CheckpointInterval > 0 && task.status == model.Running && command.GracePeriod >= task.job.spec.CheckpointCost
 			switch {
 			case savesCheckpoint:
-				t.status, t.checkpointDoneAt = model.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
-			case t.status == model.Checkpointing && o.GracePeriod > 0:
+				task.status, task.checkpointDoneAt = model.Checkpointing, world.now.Add(task.job.spec.CheckpointCost)
+			case task.status == model.Checkpointing && command.GracePeriod > 0:
 			default:
-				w.endTask(m, t, "stopped")
+				world.endTask(machine, task, "stopped")
 			}
 		case model.ClearTask:
-			if t != nil && t.status == model.Ended {
-				delete(m.tasks, key)
+			if task != nil && task.status == model.Ended {
+				delete(machine.tasks, key)
 			}
 		}
 	}
@@ -172,166 +172,167 @@
 
 // startTask starts an attempt. The attempt ends at once if another attempt of the task is active on
 // the machine or the machine has too little free capacity.
-func (w *World) startTask(m *Worker, o model.TaskCommand, key string) {
-	j := w.jobs[o.Job]
-	if j == nil && w.jobSource != nil {
-		if spec, run, ok := w.jobSource(o.Job); ok {
-			j = newUserJob(spec, run)
-			w.jobs[o.Job] = j
+func (world *World) startTask(machine *Worker, command model.TaskCommand, key string) {
+	job := world.jobs[command.Job]
+	if job == nil && world.jobSource != nil {
+		if spec, run, ok := world.jobSource(command.Job); ok {
+			job = newUserJob(spec, run)
+			world.jobs[command.Job] = job
 		}
 	}
-	if j == nil {
+	if job == nil {
 		return
 	}
-	t := &workerTask{job: j, index: o.Index, attempt: o.Attempt, status: model.Fetching}
-	m.tasks[key] = t
-	if !slices.Contains(j.machines[o.Index], m) {
-		j.machines[o.Index] = append(j.machines[o.Index], m)
+	task := &workerTask{job: job, index: command.Index, attempt: command.Attempt, status: model.Fetching}
+	machine.tasks[key] = task
+	if !slices.Contains(job.machines[command.Index], machine) {
+		job.machines[command.Index] = append(job.machines[command.Index], machine)
 	}
-	m.changed = true
+	machine.changed = true
 	used := model.Resources{}
-	for _, x := range m.tasks {
-		if x != t && x.status != model.Ended {
-			used = used.AddScaled(x.job.spec.Need, 1)
-			if x.job == j && x.index == o.Index {
-				t.status, t.cause = model.Ended, "in_use"
+	for _, other := range machine.tasks {
+		if other != task && other.status != model.Ended {
+			used = used.AddScaled(other.job.spec.Need, 1)
+			if other.job == job && other.index == command.Index {
+				task.status, task.cause = model.Ended, "in_use"
 				return
 			}
 		}
 	}
-	if !j.spec.Need.Fits(m.Size.AddScaled(used, -1)) {
-		t.status, t.cause = model.Ended, "no_room"
+	if !job.spec.Need.Fits(machine.Size.AddScaled(used, -1)) {
+		task.status, task.cause = model.Ended, "no_room"
 		return
 	}
-	j.placedAt = w.now
-	if m.images[j.spec.Image].IsZero() {
-		m.images[j.spec.Image] = w.now.Add(record.DurationOfSeconds(j.spec.ImageGB / m.FetchRate))
+	job.placedAt = world.now
+	if machine.images[job.spec.Image].IsZero() {
+		machine.images[job.spec.Image] = world.now.Add(record.DurationOfSeconds(job.spec.ImageGB / machine.FetchRate))
 	}
-	t.imageReadyAt = m.images[j.spec.Image]
-	t.remaining = j.run
-	if m.slowFactor > 0 {
-		t.remaining = time.Duration(float64(t.remaining) * m.slowFactor)
+	task.imageReadyAt = machine.images[job.spec.Image]
+	task.remaining = job.run
+	if machine.slowFactor > 0 {
+		task.remaining = time.Duration(float64(task.remaining) * machine.slowFactor)
 	}
-	if remaining, ok := j.checkpoints[o.Index]; ok {
-		t.remaining = min(t.remaining, remaining)
+	if remaining, ok := job.checkpoints[command.Index]; ok {
+		task.remaining = min(task.remaining, remaining)
 	}
-	if j.doneTasks[o.Index] {
-		t.remaining = 0
+	if job.doneTasks[command.Index] {
+		task.remaining = 0
 	}
 }
 
 // endTask ends an attempt.
-func (w *World) endTask(m *Worker, t *workerTask, cause string) {
-	t.cause = cause
-	w.releaseTask(t)
-	t.status = model.Ended
-	m.changed = true
+func (world *World) endTask(machine *Worker, task *workerTask, cause string) {
+	task.cause = cause
+	world.releaseTask(task)
+	task.status = model.Ended
+	machine.changed = true
 }
 
-// advanceMachine advances a machine's tasks by d, and sends a heartbeat if one is due.
-func (w *World) advanceMachine(m *Worker, d time.Duration) {
+// advanceMachine advances a machine's tasks by the given duration, and sends a heartbeat if one is
+// due.
+func (world *World) advanceMachine(machine *Worker, duration time.Duration) {
 	// A hanging worker whose lease has expired must not resume its tasks, so the lease is checked
 	// before the worker's state.
-	if m.incarnation > 0 && w.now.Sub(m.leaseStart) > w.settings.WorkerLease {
-		w.expireWorkerLease(m)
+	if machine.incarnation > 0 && world.now.Sub(machine.leaseStart) > world.settings.WorkerLease {
+		world.expireWorkerLease(machine)
 	}
-	if !m.up(w.now) {
+	if !machine.up(world.now) {
 		return
 	}
-	if m.incarnation == 0 {
-		m.incarnation, m.leaseStart, m.nextHeartbeatAt = 1, w.now, w.now
+	if machine.incarnation == 0 {
+		machine.incarnation, machine.leaseStart, machine.nextHeartbeatAt = 1, world.now, world.now
 	}
-	for _, t := range m.tasks {
-		w.advanceTask(m, t, d)
+	for _, task := range machine.tasks {
+		world.advanceTask(machine, task, duration)
 	}
-	if !m.heartbeatPending && (!w.now.Before(m.nextHeartbeatAt) || m.changed && w.now.Sub(m.lastHeartbeatAt) >= minHeartbeatInterval) {
-		m.heartbeatPending, m.changed, m.lastHeartbeatAt = true, false, w.now
-		m.nextHeartbeatAt = w.now.Add(w.jitter(w.settings.HeartbeatInterval))
-		w.heartbeatSender(m)
+	if !machine.heartbeatPending && (!world.now.Before(machine.nextHeartbeatAt) || machine.changed && world.now.Sub(machine.lastHeartbeatAt) >= minHeartbeatInterval) {
+		machine.heartbeatPending, machine.changed, machine.lastHeartbeatAt = true, false, world.now
+		machine.nextHeartbeatAt = world.now.Add(world.jitter(world.settings.HeartbeatInterval))
+		world.heartbeatSender(machine)
 	}
 }
 
 // expireWorkerLease kills all tasks of a worker whose lease has expired, drops its images and
 // begins a new incarnation.
-func (w *World) expireWorkerLease(m *Worker) {
-	for _, t := range m.tasks {
-		if t.onMachine() {
-			w.LostToLease++
+func (world *World) expireWorkerLease(machine *Worker) {
+	for _, task := range machine.tasks {
+		if task.onMachine() {
+			world.LostToLease++
 		}
 	}
-	w.clearTasks(m)
-	clear(m.images)
-	m.incarnation++
-	m.leaseStart, m.changed = w.now, true
+	world.clearTasks(machine)
+	clear(machine.images)
+	machine.incarnation++
+	machine.leaseStart, machine.changed = world.now, true
 }
 
-// advanceTask advances a task by d.
-func (w *World) advanceTask(m *Worker, t *workerTask, d time.Duration) {
-	switch t.status {
+// advanceTask advances a task by the given duration.
+func (world *World) advanceTask(machine *Worker, task *workerTask, duration time.Duration) {
+	switch task.status {
 	case model.Fetching:
-		if !t.imageReadyAt.After(w.now) {
-			t.status, m.changed, m.everUsed = model.Running, true, true
-			team := t.job.spec.Team
-			w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, 1)
-			w.checkStart(m, t)
+		if !task.imageReadyAt.After(world.now) {
+			task.status, machine.changed, machine.everUsed = model.Running, true, true
+			team := task.job.spec.Team
+			world.teamUsage[team] = world.teamUsage[team].AddScaled(task.job.spec.Need, 1)
+			world.checkStart(machine, task)
 		}
 	case model.Running:
-		if m.faulty || t.job.alwaysFails {
-			w.endTask(m, t, "error")
+		if machine.faulty || task.job.alwaysFails {
+			world.endTask(machine, task, "error")
 			return
 		}
-		t.remaining -= d
-		if interval := t.job.spec.CheckpointInterval; interval > 0 && t.remaining > 0 {
+		task.remaining -= duration
+		if interval := task.job.spec.CheckpointInterval; interval > 0 && task.remaining > 0 {
 			// A later attempt resumes from the last complete checkpoint.
-			steps := (t.job.run - t.remaining) / interval
-			t.job.saveCheckpoint(t.index, t.job.run-steps*interval)
+			steps := (task.job.run - task.remaining) / interval
+			task.job.saveCheckpoint(task.index, task.job.run-steps*interval)
 		}
-		if t.remaining <= 0 && !t.job.spec.LongRunning {
-			t.job.doneTasks[t.index] = true
-			w.endTask(m, t, "done")
-			w.noteTasksDone(t.job)
-			w.maybeCancelAtEnd(t.job)
+		if task.remaining <= 0 && !task.job.spec.LongRunning {
+			task.job.doneTasks[task.index] = true
+			world.endTask(machine, task, "done")
+			world.noteTasksDone(task.job)
+			world.maybeCancelAtEnd(task.job)
 		}
 	case model.Checkpointing:
-		if !t.checkpointDoneAt.After(w.now) {
-			t.job.saveCheckpoint(t.index, t.remaining)
-			t.checkpointed = true
-			w.endTask(m, t, "stopped")
+		if !task.checkpointDoneAt.After(world.now) {
+			task.job.saveCheckpoint(task.index, task.remaining)
+			task.checkpointed = true
+			world.endTask(machine, task, "stopped")
 		}
 	}
 }
 
 // sendHeartbeat sends a worker's heartbeat to its controller and handles the answer. If no answer
 // arrives within heartbeatTimeout, the worker sends its next heartbeat to the next controller.
-func (w *World) sendHeartbeat(m *Worker) {
-	sent, incarnation, to, process := w.now, m.incarnation, m.controller, m.process
+func (world *World) sendHeartbeat(machine *Worker) {
+	sent, incarnation, to, workerProcess := world.now, machine.incarnation, machine.controller, machine.process
 	answered := false
-	r := m.heartbeat(w.now)
-	w.schedule(heartbeatTimeout, func() {
-		if !answered && m.process == process {
+	heartbeat := machine.heartbeat(world.now)
+	world.schedule(heartbeatTimeout, func() {
+		if !answered && machine.process == workerProcess {
 			answered = true
-			w.tryNextController(m, to)
+			world.tryNextController(machine, to)
 		}
 	})
-	if w.now.Before(m.unheardUntil) {
+	if world.now.Before(machine.unheardUntil) {
 		// The worker can't open a connection, so not even a late copy of the heartbeat arrives.
 		return
 	}
-	p := w.controllers[to]
-	w.copyHeartbeat(r)
-	if w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
-		w.schedule(w.randomDelay(), func() {
-			w.sendMessage(m.ID, p.name, func() { p.deliverHeartbeat(r, func(message.Effect) {}) })
+	process := world.controllers[to]
+	world.copyHeartbeat(heartbeat)
+	if world.duplicateRate > 0 && world.rng.Float64() < world.duplicateRate {
+		world.schedule(world.randomDelay(), func() {
+			world.sendMessage(machine.ID, process.name, func() { process.deliverHeartbeat(heartbeat, func(message.Effect) {}) })
 		})
 	}
-	w.sendMessage(m.ID, p.name, func() {
-		p.deliverHeartbeat(r, func(e message.Effect) {
-			a := e.(message.HeartbeatReply)
-			w.sendMessage(p.name, m.ID, func() {
+	world.sendMessage(machine.ID, process.name, func() {
+		process.deliverHeartbeat(heartbeat, func(effect message.Effect) {
+			reply := effect.(message.HeartbeatReply)
+			world.sendMessage(process.name, machine.ID, func() {
 				// An answer after the timeout is dropped.
 				if !answered {
 					answered = true
-					w.takeHeartbeatReply(m, a, to, incarnation, sent)
+					world.takeHeartbeatReply(machine, reply, to, incarnation, sent)
 				}
 			})
 		})
@@ -339,62 +340,62 @@
 }
 
 // deliverHeartbeat passes a heartbeat to the controller and its answer to fn.
-func (p *controllerProcess) deliverHeartbeat(r model.Heartbeat, fn func(message.Effect)) {
-	p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, fn)
+func (process *controllerProcess) deliverHeartbeat(heartbeat model.Heartbeat, fn func(message.Effect)) {
+	process.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat} }, fn)
 }
 
 // tryNextController makes a worker send its next heartbeat to the controller that follows the
 // failed one, after heartbeatRetryPause.
-func (w *World) tryNextController(m *Worker, failed int) {
-	m.heartbeatPending = false
-	m.controller = (failed + 1) % len(w.controllers)
-	m.nextHeartbeatAt = w.now.Add(heartbeatRetryPause)
+func (world *World) tryNextController(machine *Worker, failed int) {
+	machine.heartbeatPending = false
+	machine.controller = (failed + 1) % len(world.controllers)
+	machine.nextHeartbeatAt = world.now.Add(heartbeatRetryPause)
 }
 
 // takeHeartbeatReply handles the answer of controller to. incarnation is the worker's incarnation
 // at sent, when the worker sent the heartbeat.
-func (w *World) takeHeartbeatReply(m *Worker, a message.HeartbeatReply, to int, incarnation uint64, sent time.Time) {
+func (world *World) takeHeartbeatReply(machine *Worker, reply message.HeartbeatReply, to int, incarnation uint64, sent time.Time) {
 	owner := -1
-	if a.MachineOwner != "" {
-		owner = w.controllerIndex(a.MachineOwner)
+	if reply.MachineOwner != "" {
+		owner = world.controllerIndex(reply.MachineOwner)
 	}
 	switch {
-	case a.Status == http.StatusMisdirectedRequest && owner >= 0 && owner != to:
-		m.heartbeatPending = false
-		m.controller = owner
-		m.nextHeartbeatAt = w.now.Add(w.jitter(250 * time.Millisecond))
-	case a.Status != http.StatusOK:
-		w.tryNextController(m, to)
+	case reply.Status == http.StatusMisdirectedRequest && owner >= 0 && owner != to:
+		machine.heartbeatPending = false
+		machine.controller = owner
+		machine.nextHeartbeatAt = world.now.Add(world.jitter(250 * time.Millisecond))
+	case reply.Status != http.StatusOK:
+		world.tryNextController(machine, to)
 	default:
-		w.checkReplySize(a)
-		m.heartbeatPending = false
-		if a.Epoch < m.epoch || incarnation != m.incarnation {
+		world.checkReplySize(reply)
+		machine.heartbeatPending = false
+		if reply.Epoch < machine.epoch || incarnation != machine.incarnation {
 			return
 		}
-		if a.Epoch > m.epoch {
-			m.epoch, m.changed = a.Epoch, true
+		if reply.Epoch > machine.epoch {
+			machine.epoch, machine.changed = reply.Epoch, true
 		}
-		m.leaseStart = sent
-		w.executeCommands(m, a.Commands)
+		machine.leaseStart = sent
+		world.executeCommands(machine, reply.Commands)
 	}
 }
 
 // executeDirect executes a request that a controller sent directly to a worker.
-func (w *World) executeDirect(m *Worker, op message.WorkerRequest) message.WorkerResponse {
-	d := message.WorkerResponse{ID: op.ID, OK: true}
-	if !op.StatusOnly {
-		if op.Epoch < m.epoch || op.Incarnation != m.incarnation {
-			d.OK = false
+func (world *World) executeDirect(machine *Worker, request message.WorkerRequest) message.WorkerResponse {
+	response := message.WorkerResponse{ID: request.ID, OK: true}
+	if !request.StatusOnly {
+		if request.Epoch < machine.epoch || request.Incarnation != machine.incarnation {
+			response.OK = false
 		} else {
-			if op.Epoch > m.epoch {
-				m.epoch, m.changed = op.Epoch, true
+			if request.Epoch > machine.epoch {
+				machine.epoch, machine.changed = request.Epoch, true
 			}
-			w.executeCommands(m, op.Commands)
+			world.executeCommands(machine, request.Commands)
 		}
 	}
-	r := m.heartbeat(w.now)
-	d.Heartbeat = &r
-	return d
+	heartbeat := machine.heartbeat(world.now)
+	response.Heartbeat = &heartbeat
+	return response
 }
 
 // sortedKeys returns the keys of a map in ascending order, for loops whose order must be the same
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -131,14 +131,15 @@
 	margins map[string]Margin
 	// nextWaitCheck is the time of the next check for jobs that wait beside free capacity.
 	nextWaitCheck time.Time
-	// rankingCheck, if not nil, checks the order in which controllers act. adjustSettings, if not
+	// rankingCheck, if not nil, checks that controllers follow the ranking. adjustSettings, if not
 	// nil, changes the settings of a controller with the given index at its start.
 	rankingCheck   *rankingChecker
 	adjustSettings func(i int, set *controller.Settings)
 	// onAnswer, if not nil, is called with every answer that reaches a user and the time when the
 	// user sent the request.
 	onAnswer func(requestedAt time.Time, r message.UserReply)
-	// faultsEndAt is the end of the last fault, or the zero time if there is none.
+	// faultsEndAt is the end of the last fault. While it is zero, the rules that hold only after
+	// all faults are not checked.
 	faultsEndAt time.Time
 	// trace is a list of words separated by "|". Debug lines that contain one of the words are
 	// added to logs.
@@ -160,142 +161,143 @@
 type events []event
 
 // Len returns the number of events.
-func (e events) Len() int { return len(e) }
+func (queue events) Len() int { return len(queue) }
 
 // Less reports whether event a runs before event b.
-func (e events) Less(a, b int) bool {
-	return e[a].at.Before(e[b].at) || e[a].at.Equal(e[b].at) && e[a].seq < e[b].seq
+func (queue events) Less(a, b int) bool {
+	return queue[a].at.Before(queue[b].at) || queue[a].at.Equal(queue[b].at) && queue[a].seq < queue[b].seq
 }
 
 // Swap swaps two events.
-func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+func (queue events) Swap(a, b int) { queue[a], queue[b] = queue[b], queue[a] }
 
 // Push appends an event; only package heap calls it.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+func (queue *events) Push(x any) { *queue = append(*queue, x.(event)) }
 
 // Pop removes the last event and returns it; only package heap calls it.
-func (e *events) Pop() any {
-	o := *e
-	x := o[len(o)-1]
-	*e = o[:len(o)-1]
+func (queue *events) Pop() any {
+	other := *queue
+	x := other[len(other)-1]
+	*queue = other[:len(other)-1]
 	return x
 }
 
-// NewWorld returns a world and starts the given number of controllers in it. cancel is the time
-// within which the tasks of a cancelled job must have ended. capacity is the number of machines
-// that the cloud has, by capacityKey, such as box/a/true. The world keeps and changes capacity.
-func NewWorld(seed uint64, controllers int, settings controller.Settings, cancel time.Duration, types []model.MachineType, capacity map[string]int) *World {
-	w := &World{
-		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancel,
+// NewWorld returns a world and starts the given number of controllers in it. cancelWithin is the
+// time within which the tasks of a cancelled job must have ended. capacity is the number of
+// machines that the cloud has, by capacityKey, such as box/a/true. The world keeps and changes
+// capacity.
+func NewWorld(seed uint64, controllers int, settings controller.Settings, cancelWithin time.Duration, types []model.MachineType, capacity map[string]int) *World {
+	world := &World{
+		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancelWithin,
 		state: NewStateService(), machines: map[string]*Worker{}, machineTypes: map[string]model.MachineType{},
 		cloudCapacity: capacity, rentals: map[string][]string{}, jobs: map[string]*userJob{}, partitions: map[string]*partition{}, oneWayPartitions: map[string]int{},
 		teamUsage: map[string]model.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
 	}
 	if settings.CloudRequestsPerSecond > 0 {
 		// The cloud accepts bursts of two seconds' worth of requests.
-		w.cloudLimiter = rate.NewLimiter(rate.Limit(settings.CloudRequestsPerSecond), max(1, int(2*settings.CloudRequestsPerSecond)))
+		world.cloudLimiter = rate.NewLimiter(rate.Limit(settings.CloudRequestsPerSecond), max(1, int(2*settings.CloudRequestsPerSecond)))
 	}
-	w.startedAt = w.now
-	w.state.SetLimits(settings)
-	w.heartbeatSender, w.onRented, w.onGone = w.sendHeartbeat, func(*Worker) {}, func(*Worker) {}
-	for _, t := range types {
-		w.machineTypes[t.Name] = t
+	world.startedAt = world.now
+	world.state.SetLimits(settings)
+	world.heartbeatSender, world.onRented, world.onGone = world.sendHeartbeat, func(*Worker) {}, func(*Worker) {}
+	for _, machineType := range types {
+		world.machineTypes[machineType.Name] = machineType
 	}
 	for i := range controllers {
-		w.controllers = append(w.controllers, &controllerProcess{world: w, index: i, name: fmt.Sprintf("node-%d", i)})
+		world.controllers = append(world.controllers, &controllerProcess{world: world, index: i, name: fmt.Sprintf("node-%d", i)})
 	}
-	for _, p := range w.controllers {
-		p.start()
+	for _, process := range world.controllers {
+		process.start()
 	}
-	w.schedule(tickInterval, w.onTick)
-	return w
+	world.schedule(tickInterval, world.onTick)
+	return world
 }
 
 // schedule makes Run call fn after delay.
-func (w *World) schedule(delay time.Duration, fn func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.now.Add(delay), w.seq, fn})
+func (world *World) schedule(delay time.Duration, fn func()) {
+	world.seq++
+	heap.Push(&world.events, event{world.now.Add(delay), world.seq, fn})
 }
 
-// jitter draws a duration between 75% and 125% of d.
-func (w *World) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + w.rng.Float64()/2))
+// jitter draws a duration between 75% and 125% of the given one.
+func (world *World) jitter(duration time.Duration) time.Duration {
+	return time.Duration(float64(duration) * (0.75 + world.rng.Float64()/2))
 }
 
-// Run advances the virtual time by d and runs the events that are due meanwhile.
-func (w *World) Run(d time.Duration) {
-	end := w.now.Add(d)
-	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.run()
+// Run advances the virtual time by the given duration and runs the events that are due meanwhile.
+func (world *World) Run(duration time.Duration) {
+	end := world.now.Add(duration)
+	for len(world.events) > 0 && !world.events[0].at.After(end) {
+		next := heap.Pop(&world.events).(event)
+		world.now = next.at
+		next.run()
 	}
-	w.now = end
+	world.now = end
 }
 
 // violate records a violation of a rule, unless maxViolations are recorded already.
-func (w *World) violate(rule, format string, args ...any) {
-	if len(w.Violations) >= maxViolations {
+func (world *World) violate(rule, format string, args ...any) {
+	if len(world.Violations) >= maxViolations {
 		return
 	}
-	w.Violations = append(w.Violations, fmt.Sprintf("%s at %.1fs: %s", rule, w.now.Sub(w.startedAt).Seconds(), fmt.Sprintf(format, args...)))
+	world.Violations = append(world.Violations, fmt.Sprintf("%s at %.1fs: %s", rule, world.now.Sub(world.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
 // onTick updates leases and machines, and checks the rules that depend on the passing of time. It
 // runs every tickInterval.
-func (w *World) onTick() {
-	if !w.stateOutage {
-		w.state.Expire(w.now)
+func (world *World) onTick() {
+	if !world.stateOutage {
+		world.state.Expire(world.now)
 	}
-	w.advanceMachines(tickInterval)
-	w.checkCancellations()
-	w.replayHeldHeartbeats()
-	w.checkWaiting()
-	w.schedule(tickInterval, w.onTick)
+	world.advanceMachines(tickInterval)
+	world.checkCancellations()
+	world.replayHeldHeartbeats()
+	world.checkWaiting()
+	world.schedule(tickInterval, world.onTick)
 }
 
 // advanceMachines advances all machines by step, and removes machines that were released or
 // reclaimed from the fleet.
-func (w *World) advanceMachines(step time.Duration) {
-	keep := w.fleet[:0]
-	for _, m := range w.fleet {
-		if !m.reclaimAt.IsZero() && !w.now.Before(m.reclaimAt) {
-			w.killMachine(m)
-			m.reclaimed = true
+func (world *World) advanceMachines(step time.Duration) {
+	keep := world.fleet[:0]
+	for _, machine := range world.fleet {
+		if !machine.reclaimAt.IsZero() && !world.now.Before(machine.reclaimAt) {
+			world.killMachine(machine)
+			machine.reclaimed = true
 		}
-		w.advanceMachine(m, step)
-		if m.released || m.reclaimed {
-			w.onGone(m)
+		world.advanceMachine(machine, step)
+		if machine.released || machine.reclaimed {
+			world.onGone(machine)
 			continue
 		}
-		keep = append(keep, m)
+		keep = append(keep, machine)
 	}
-	w.fleet = keep
+	world.fleet = keep
 }
 
 // controllerIndex returns the index of the controller with a name, or -1 if there is none.
-func (w *World) controllerIndex(name string) int {
-	return slices.IndexFunc(w.controllers, func(p *controllerProcess) bool { return p.name == name })
+func (world *World) controllerIndex(name string) int {
+	return slices.IndexFunc(world.controllers, func(process *controllerProcess) bool { return process.name == name })
 }
 
 // sendMessage delivers a message by calling fn after a random delay. Depending on the faults of the
 // link and the receiver, the message is late, lost or held until the fault ends. A machine is named
 // by its id, a controller by its name; the other ends are state, cloud and user.
-func (w *World) sendMessage(from, to string, fn func()) {
+func (world *World) sendMessage(from, to string, fn func()) {
 	process := 0
-	if m := w.machines[to]; m != nil {
-		process = m.process
+	if machine := world.machines[to]; machine != nil {
+		process = machine.process
 	}
 	deliver := func() {
 		// A hanging machine receives the message when it resumes, unless its worker was restarted
 		// meanwhile.
-		if m := w.machines[to]; m != nil {
+		if machine := world.machines[to]; machine != nil {
 			switch {
-			case m.dead || m.released || m.process != process:
+			case machine.dead || machine.released || machine.process != process:
 				return
-			case w.now.Before(m.hungUntil):
-				w.schedule(m.hungUntil.Sub(w.now)+time.Millisecond, func() {
-					if !m.dead && !m.released && m.process == process {
+			case world.now.Before(machine.hungUntil):
+				world.schedule(machine.hungUntil.Sub(world.now)+time.Millisecond, func() {
+					if !machine.dead && !machine.released && machine.process == process {
 						fn()
 					}
 				})
@@ -304,78 +306,80 @@
 		}
 		fn()
 	}
-	if w.isPartitionedOneWay(from, to) || w.holdIfUnreachable(w.machines[to], deliver) {
+	if world.isPartitionedOneWay(from, to) || world.holdIfUnreachable(world.machines[to], deliver) {
 		return
 	}
-	if c := w.partitionBetween(from, to); c != nil {
-		if c.holdMessages {
-			c.heldMessages = append(c.heldMessages, deliver)
+	if link := world.partitionBetween(from, to); link != nil {
+		if link.holdMessages {
+			link.heldMessages = append(link.heldMessages, deliver)
 		}
 		return
 	}
-	d := time.Duration(1+w.rng.IntN(6)) * time.Millisecond
-	if w.now.Before(w.stateSlowUntil) && (from == "state" || to == "state") {
-		d = time.Duration(float64(d) * w.stateSlowFactor)
+	delay := time.Duration(1+world.rng.IntN(6)) * time.Millisecond
+	if world.now.Before(world.stateSlowUntil) && (from == "state" || to == "state") {
+		delay = time.Duration(float64(delay) * world.stateSlowFactor)
 	}
-	if w.disturbances != nil && w.now.Before(w.disturbances.slowAnswersUntil) && (from == "state" || from == "cloud") {
-		d += time.Duration(w.rng.Int64N(int64(w.disturbances.answerDelay)))
+	if world.disturbances != nil && world.now.Before(world.disturbances.slowAnswersUntil) && (from == "state" || from == "cloud") {
+		delay += time.Duration(world.rng.Int64N(int64(world.disturbances.answerDelay)))
 	}
-	if w.rng.Float64() < 0.01 {
-		d += time.Duration(w.rng.IntN(400)) * time.Millisecond
+	if world.rng.Float64() < 0.01 {
+		delay += time.Duration(world.rng.IntN(400)) * time.Millisecond
 	}
-	if w.rng.Float64() < w.lossRate {
-		if w.rng.IntN(2) == 0 {
+	if world.rng.Float64() < world.lossRate {
+		if world.rng.IntN(2) == 0 {
 			return
 		}
-		d += w.randomDelay()
+		delay += world.randomDelay()
 	}
-	w.schedule(d, deliver)
+	world.schedule(delay, deliver)
 }
 
 // randomDelay draws the delay of a message that the network delivers very late.
-func (w *World) randomDelay() time.Duration { return time.Duration(5+w.rng.IntN(100)) * time.Second }
+func (world *World) randomDelay() time.Duration {
+	return time.Duration(5+world.rng.IntN(100)) * time.Second
+}
 
 // maxRandomDelay is the upper bound of randomDelay.
 const maxRandomDelay = 105 * time.Second
 
 // clearTasks removes all tasks from a machine.
-func (w *World) clearTasks(m *Worker) {
-	for _, t := range m.tasks {
-		w.releaseTask(t)
+func (world *World) clearTasks(machine *Worker) {
+	for _, task := range machine.tasks {
+		world.releaseTask(task)
 	}
-	clear(m.tasks)
+	clear(machine.tasks)
 }
 
 // releaseTask subtracts the resources of a task from its team's usage if the task takes any.
-func (w *World) releaseTask(t *workerTask) {
-	if t.onMachine() {
-		team := t.job.spec.Team
-		w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, -1)
-		w.replicaDown(t)
+func (world *World) releaseTask(task *workerTask) {
+	if task.onMachine() {
+		team := task.job.spec.Team
+		world.teamUsage[team] = world.teamUsage[team].AddScaled(task.job.spec.Need, -1)
+		world.replicaDown(task)
 	}
 }
 
-// Outage makes the state service unavailable for d. At the end of the outage every lease is renewed
-// to its full TTL. Outages may overlap.
-func (w *World) Outage(d time.Duration) {
-	w.stateOutage = true
-	if until := w.now.Add(d); until.After(w.stateOutageUntil) {
-		w.stateOutageUntil = until
+// Outage makes the state service unavailable for the given duration. At the end of the outage every
+// lease is renewed to its full TTL. Outages may overlap.
+func (world *World) Outage(duration time.Duration) {
+	world.stateOutage = true
+	if until := world.now.Add(duration); until.After(world.stateOutageUntil) {
+		world.stateOutageUntil = until
 	}
-	w.schedule(d, func() {
-		if w.stateOutage = w.now.Before(w.stateOutageUntil); w.stateOutage {
+	world.schedule(duration, func() {
+		if world.stateOutage = world.now.Before(world.stateOutageUntil); world.stateOutage {
 			return
 		}
-		w.state.RenewLeases(w.now)
+		world.state.RenewLeases(world.now)
 	})
 }
 
 // runningTasks returns the number of a job's attempts that take resources of living machines.
-func (w *World) runningTasks(id string) int {
+func (world *World) runningTasks(id string) int {
 	k := 0
-	for _, m := range w.machines {
-		for _, t := range m.tasks {
-			if t.job.spec.ID == id && t.onMachine() && !m.dead {
+	for _, machine := range world.machines {
+		for _, task := range machine.tasks {
+			if task.job.spec.ID == id && task.onMachine() && !machine.dead {
 				k++
 			}
 		}
@@ -384,56 +388,56 @@
 }
 
 // randomFault begins a fault that is drawn from rng. Earlier faults may still be active.
-func (w *World) randomFault(rng *rand.Rand) {
+func (world *World) randomFault(rng *rand.Rand) {
 	dur := time.Duration(5+rng.IntN(35)) * time.Second
-	p := w.controllers[rng.IntN(len(w.controllers))]
-	hold := rng.IntN(2) == 0
+	process := world.controllers[rng.IntN(len(world.controllers))]
+	holdMessages := rng.IntN(2) == 0
 	var machines []*Worker
-	for _, id := range sortedKeys(w.machines) {
-		if m := w.machines[id]; m.up(w.now) {
-			machines = append(machines, m)
+	for _, id := range sortedKeys(world.machines) {
+		if machine := world.machines[id]; machine.up(world.now) {
+			machines = append(machines, machine)
 		}
 	}
 	switch rng.IntN(12) {
 	case 0:
-		w.CrashController(p.index, 5*time.Second)
+		world.CrashController(process.index, 5*time.Second)
 	case 1:
-		for i := range w.controllers {
-			w.CrashController(i, 5*time.Second)
+		for i := range world.controllers {
+			world.CrashController(i, 5*time.Second)
 		}
 	case 2:
-		w.Partition(p.name, "*", dur, hold)
+		world.Partition(process.name, "*", dur, holdMessages)
 	case 3:
-		w.Partition(p.name, "state", dur, hold)
+		world.Partition(process.name, "state", dur, holdMessages)
 	case 4:
-		w.Partition(p.name, "workers", dur, hold)
+		world.Partition(process.name, "workers", dur, holdMessages)
 	case 5:
-		w.refuseController(p, dur)
+		world.refuseController(process, dur)
 	case 6:
-		w.Outage(dur)
+		world.Outage(dur)
 	case 7:
-		w.cloudOutage = true
-		w.schedule(dur, func() { w.cloudOutage = false })
+		world.cloudOutage = true
+		world.schedule(dur, func() { world.cloudOutage = false })
 	case 8:
-		for _, m := range machines {
-			if m.Spot && rng.IntN(2) == 0 {
-				m.reclaimAt = w.now.Add(time.Duration(rng.IntN(15)) * time.Second)
+		for _, machine := range machines {
+			if machine.Spot && rng.IntN(2) == 0 {
+				machine.reclaimAt = world.now.Add(time.Duration(rng.IntN(15)) * time.Second)
 			}
 		}
 	default:
 		if len(machines) == 0 {
 			return
 		}
-		m := machines[rng.IntN(len(machines))]
+		machine := machines[rng.IntN(len(machines))]
 		switch rng.IntN(5) {
 		case 0:
-			w.killMachine(m)
+			world.killMachine(machine)
 		case 1, 2:
-			m.hungUntil = w.now.Add(dur)
+			machine.hungUntil = world.now.Add(dur)
 		case 3:
-			w.Partition(m.ID, "*", dur, hold)
+			world.Partition(machine.ID, "*", dur, holdMessages)
 		case 4:
-			m.slowFactor = 3
+			machine.slowFactor = 3
 		}
 	}
 }
--- a/internal/testgolden/testgolden.go
+++ b/internal/testgolden/testgolden.go
@@ -54,20 +54,20 @@
 // Check checks for each value, and for the zero value of its type, that it is encoded as its golden
 // bytes, that the golden bytes are decoded as the value, and that the decoded value is encoded as
 // the golden bytes again.
-func Check(t *testing.T, c Codec, vs Values) {
+func Check(t *testing.T, codec Codec, values Values) {
 	t.Helper()
-	for _, name := range slices.Sorted(maps.Keys(vs)) {
-		check(t, c, name, vs[name])
-		if !c.Strict {
-			check(t, c, name+".zero", reflect.Zero(reflect.TypeOf(vs[name])).Interface())
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		check(t, codec, name, values[name])
+		if !codec.Strict {
+			check(t, codec, name+".zero", reflect.Zero(reflect.TypeOf(values[name])).Interface())
 		}
 	}
 }
 
 // check is Check for one value.
-func check(t *testing.T, c Codec, name string, v any) {
+func check(t *testing.T, codec Codec, name string, v any) {
 	t.Helper()
-	b, err := c.Write(v)
+	b, err := codec.Write(v)
 	if err != nil {
 		t.Errorf("%s: %v", name, err)
 		return
@@ -75,7 +75,7 @@
 	Same(t, name, b)
 	golden := Bytes(t, name)
 	into := reflect.New(reflect.TypeOf(v))
-	if err := c.Read(golden, into.Interface()); err != nil {
+	if err := codec.Read(golden, into.Interface()); err != nil {
 		t.Errorf("%s: decode golden bytes: got error %v, want none", name, err)
 		return
 	}
@@ -83,7 +83,7 @@
 	if !reflect.DeepEqual(read, v) {
 		t.Errorf("%s: decoded: got\n%+v\nwant\n%+v", name, read, v)
 	}
-	again, err := c.Write(read)
+	again, err := codec.Write(read)
 	if err != nil {
 		t.Errorf("%s: encode decoded value: got error %v, want none", name, err)
 		return
@@ -139,11 +139,11 @@
 // Full checks that the values cover all encoded types and fields. It fails for a field that no
 // value sets, for two fields of the same type that are equal in a value, since confusing them would
 // not be noticed, and for a type of the package with MessagePack tags of which there is no value.
-func Full(t *testing.T, vs Values) {
+func Full(t *testing.T, values Values) {
 	t.Helper()
 	w := walker{t, map[reflect.Type][]bool{}}
-	for _, name := range slices.Sorted(maps.Keys(vs)) {
-		w.walk(name, reflect.ValueOf(vs[name]))
+	for _, name := range slices.Sorted(maps.Keys(values)) {
+		w.walk(name, reflect.ValueOf(values[name]))
 	}
 	known := map[string]bool{}
 	for typ, set := range w.set {
@@ -278,8 +278,8 @@
 }
 
 // setFields adds the full names of the fields that a message and its submessages set.
-func setFields(m protoreflect.Message, set map[protoreflect.FullName]bool) {
-	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
+func setFields(message protoreflect.Message, set map[protoreflect.FullName]bool) {
+	message.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		set[f.FullName()] = true
 		switch {
 		case f.Message() == nil || f.IsMap():
