--- a/internal/simulation/controller_process.go
+++ b/internal/simulation/controller_process.go
@@ -339,8 +339,8 @@
 }
 
 // openWatch opens a watch. While the state service is unavailable or refuses this controller, the
-// watch gets no answer. openWatch opens it again when the fault is over, unless the time until has
-// passed, when the process has given up the watch.
+// watch gets no answer. openWatch opens it again when the fault is over, unless the deadline until
+// has passed, after which the process does not wait for the answer.
 func (process *controllerProcess) openWatch(request message.StoreRequest, until time.Time, answer func(message.StoreResponse)) {
 	world := process.world
 	unavailable := func() bool {
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -20,8 +20,8 @@
 	// controllers.
 	Teams       int `json:"teams"`
 	Controllers int `json:"controllers"`
-	// Jobs is the number of ordinary jobs: those without dependencies, models, and jobs that belong
-	// to a kind of fault.
+	// Jobs is the number of ordinary jobs. Pipelines, models and the jobs that a guest team or
+	// overlapping faults add are not counted.
 	Jobs int `json:"jobs"`
 	// FaultCount is the number of listed faults; -1 means none.
 	FaultCount int `json:"faults"`
@@ -69,8 +69,8 @@
 	models []modelJob
 }
 
-// workloadClass describes the jobs of one workload. The numbers are about the means of what is
-// drawn.
+// workloadClass describes the jobs of one workload. The numbers are the approximate means of the
+// drawn values.
 type workloadClass struct {
 	// name is the workload's name.
 	name string
--- a/internal/simulation/margins.go
+++ b/internal/simulation/margins.go
@@ -10,7 +10,8 @@
 // This file records the smallest margin of each timed rule, and checks that no job waits for long
 // while there is free capacity for it.
 
-// Timed rules bound a duration. RuleOrphaned is another one.
+// These are the rules that bound a duration, except RuleOrphaned, which is defined next to its
+// checks.
 const (
 	// RuleCancelled is the rule that the tasks of a cancelled job end within cancel_s.
 	RuleCancelled = "ran_cancelled"
--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -64,8 +64,8 @@
 
 // generateModels draws a day's models. At first small and medium models fill the machines, and most
 // of them are cancelled over time. From the middle of the day on large models are submitted, each
-// of which needs a whole machine. There are no more of them than machines that are empty if the
-// remaining models are packed as tightly as possible.
+// of which needs a whole machine. Their replicas need no more machines than would be empty if the
+// remaining models were packed as tightly as possible.
 func generateModels(day *Day) {
 	rng := rand.New(rand.NewPCG(day.Seed, 2718))
 	span := float64(day.Minutes) * float64(time.Minute)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -331,7 +331,7 @@
 
 // eachPlacedTask calls fn with the attempts of one task that take resources of machines. If the job
 // restricts the zones of its tasks relative to each other, eachPlacedTask calls fn for all tasks of
-// the job. It also forgets machines that have no attempt of the task.
+// the job. eachPlacedTask also removes machines without an attempt of the task from job.machines.
 func (world *World) eachPlacedTask(job *userJob, fn func(int, *Worker, *workerTask), index int) {
 	scanTask := func(i int) {
 		job.machines[i] = slices.DeleteFunc(job.machines[i], func(machine *Worker) bool {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -139,8 +139,8 @@
 	return heartbeat
 }
 
-// executeCommands executes task commands on a worker, in their order. A command for an unknown or
-// ended attempt has no effect where it doesn't apply.
+// executeCommands executes task commands on a worker, in their order. A command that does not apply
+// to the present state of its attempt has no effect.
 func (world *World) executeCommands(machine *Worker, commands []model.TaskCommand) {
 	for _, command := range commands {
 		key := fmt.Sprintf("%s#%d", taskName(command.Job, command.Index), command.Attempt)
--- a/internal/testgolden/testgolden.go
+++ b/internal/testgolden/testgolden.go
@@ -69,7 +69,7 @@
 	t.Helper()
 	b, err := codec.Write(v)
 	if err != nil {
-		t.Errorf("%s: %v", name, err)
+		t.Errorf("%s: encode: got error %v, want none", name, err)
 		return
 	}
 	Same(t, name, b)
@@ -131,7 +131,7 @@
 	}
 	b, err := hex.DecodeString(strings.Join(strings.Fields(string(text)), ""))
 	if err != nil {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s: decode hex text of golden file: got error %v, want none", name, err)
 	}
 	return b
 }
