--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -18,7 +18,7 @@
 	// are over. The load tests against real controllers use it, too.
 	MaxUnanswered = 75 * time.Second
 	// endedPollInterval is the interval at which users query ended jobs once all faults are over.
-	// It is a fraction of MaxUnanswered, so that one lost answer violates no rule.
+	// Several queries fit into MaxUnanswered.
 	endedPollInterval = 15 * time.Second
 	// maxStartWait is the time within which the largest jobs of a class must start, not counting
 	// times without capacity.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -146,8 +146,8 @@
 	trace string
 }
 
-// maxViolations bounds the number of recorded violations, since later ones are often consequences
-// of the first.
+// maxViolations bounds the number of recorded violations. The first ones are enough to find a
+// fault.
 const maxViolations = 20
 
 // event is a scheduled function.
