--- a/internal/search/search_test.go
+++ b/internal/search/search_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// plantedProblem has its least margin, 0, for the rule near at (0.7, 0.2), which few generated
-// cases come close to. The rule far has its least margin elsewhere, and applies to few cases.
-// evaluated counts the evaluations.
+// plantedProblem returns a problem with a known minimum. The rule near has its smallest margin, 0,
+// at (0.7, 0.2), and few generated cases come close to it. The rule far has its smallest margin
+// elsewhere and applies to few cases. evaluated counts the evaluations.
 func plantedProblem(evaluated *atomic.Int64) Problem[[2]float64] {
 	return Problem[[2]float64]{
 		Generate: func(rng *rand.Rand) [2]float64 { return [2]float64{rng.Float64(), rng.Float64()} },
@@ -30,6 +30,8 @@
 	}
 }
 
+// TestFindsPlantedMinimum checks that a search finds the minima of plantedProblem, makes exactly
+// the requested runs, gives the same result in parallel, and depends on the seed.
 func TestFindsPlantedMinimum(t *testing.T) {
 	const runs = 700
 	var evaluated atomic.Int64
@@ -52,27 +54,29 @@
 	}
 }
 
-// TestBeatsRandomSampling checks that mutations come nearer than as many generated cases.
+// TestBeatsRandomSampling checks that a search with mutations finds a smaller margin than the same
+// number of generated cases.
 func TestBeatsRandomSampling(t *testing.T) {
 	var evaluated atomic.Int64
-	p := plantedProblem(&evaluated)
-	searched := Run(p, Options{Seed: 9, Runs: 400, FocusRule: "near"})
-	p.Mutate = func(rng *rand.Rand, _ [2]float64) [2]float64 { return p.Generate(rng) }
-	sampled := Run(p, Options{Seed: 9, Runs: 400, FocusRule: "near"})
+	problem := plantedProblem(&evaluated)
+	searched := Run(problem, Options{Seed: 9, Runs: 400, FocusRule: "near"})
+	problem.Mutate = func(rng *rand.Rand, _ [2]float64) [2]float64 { return problem.Generate(rng) }
+	sampled := Run(problem, Options{Seed: 9, Runs: 400, FocusRule: "near"})
 	if got, random := searched.Nearest["near"][0].Margin, sampled.Nearest["near"][0].Margin; got >= random {
 		t.Errorf("got margin %v by mutations, want less than %v by random sampling", got, random)
 	}
 }
 
+// TestEndsAtTimeLimit checks that a search ends at its time limit before all runs are made.
 func TestEndsAtTimeLimit(t *testing.T) {
 	var evaluated atomic.Int64
-	p := plantedProblem(&evaluated)
-	evaluate := p.Evaluate
-	p.Evaluate = func(c [2]float64) map[string]float64 {
+	problem := plantedProblem(&evaluated)
+	evaluate := problem.Evaluate
+	problem.Evaluate = func(c [2]float64) map[string]float64 {
 		time.Sleep(time.Millisecond)
 		return evaluate(c)
 	}
-	if r := Run(p, Options{Seed: 1, Runs: 1 << 20, TimeLimit: 50 * time.Millisecond, Parallel: 4}); r.Runs >= 1<<20 || r.Runs == 0 {
+	if r := Run(problem, Options{Seed: 1, Runs: 1 << 20, TimeLimit: 50 * time.Millisecond, Parallel: 4}); r.Runs >= 1<<20 || r.Runs == 0 {
 		t.Errorf("got %d runs in 50 ms, want some, fewer than %d", r.Runs, 1<<20)
 	}
 }
--- a/internal/simulation/dependency_checks.go
+++ b/internal/simulation/dependency_checks.go
@@ -9,138 +9,142 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// This file checks pipelines: no job starts before all its dependencies are done, and the
-// dependents of a cancelled job are cancelled in time and stay so.
+// This file checks the rules for jobs with dependencies: no job starts before all its dependencies
+// are done, and the dependents of a cancelled job are cancelled in time and stay cancelled.
 
-// RuleOrphaned is the rule that a job is not answered as queued or running later than cancel_s after an answer left
-// that says that a job before it is cancelled.
+// RuleOrphaned is the rule that a controller must not answer that a job is queued or running later
+// than cancel_s after a controller answered that one of the job's direct or indirect dependencies
+// is cancelled.
 const RuleOrphaned = "orphaned"
 
-// dependenciesDone reports whether all dependencies are done, by the workers' own results.
-func (j *userJob) dependenciesDone() bool {
-	for _, n := range j.dependencies {
-		if n.tasksDoneAt.IsZero() {
+// dependenciesDone reports whether all tasks of all dependencies are done on the workers.
+func (job *userJob) dependenciesDone() bool {
+	for _, dependency := range job.dependencies {
+		if dependency.tasksDoneAt.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// eligibleSince returns since when a job could start: when the last of its dependencies was done,
-// and not before its submission. Deadlines count from the submission all the same.
-func (j *userJob) eligibleSince() time.Time {
-	at := j.submitted
-	for _, n := range j.dependencies {
-		if n.tasksDoneAt.After(at) {
-			at = n.tasksDoneAt
+// eligibleSince returns the time from which a job could start: the end of its last dependency, or
+// its submission if that is later. Deadlines count from the submission in either case.
+func (job *userJob) eligibleSince() time.Time {
+	at := job.submitted
+	for _, dependency := range job.dependencies {
+		if dependency.tasksDoneAt.After(at) {
+			at = dependency.tasksDoneAt
 		}
 	}
 	return at
 }
 
-// noteTasksDone notes when all tasks of a job are done.
-func (w *World) noteTasksDone(j *userJob) {
-	if !j.tasksDoneAt.IsZero() || len(j.doneTasks) < j.spec.Tasks {
+// noteTasksDone sets tasksDoneAt when all tasks of a job are done, and calls the hooks of this
+// milestone.
+func (world *World) noteTasksDone(job *userJob) {
+	if !job.tasksDoneAt.IsZero() || len(job.doneTasks) < job.spec.Tasks {
 		return
 	}
-	j.tasksDoneAt = w.now
-	j.runHooks()
+	job.tasksDoneAt = world.now
+	job.runHooks()
 }
 
-// isCancelled reports whether the user of a job, or of one before it, cancels without knowing that
-// it is done.
-func (j *userJob) isCancelled() bool { return j.cancelRequested || j.dependsOnCancelled() }
+// isCancelled reports whether the user cancelled the job or one of its direct or indirect
+// dependencies that the user does not know to be done.
+func (job *userJob) isCancelled() bool { return job.cancelRequested || job.dependsOnCancelled() }
 
-// dependsOnCancelled reports whether a job before it is cancelled by a user who does not know that
-// it is done. The dependents of a done job go on.
-func (j *userJob) dependsOnCancelled() bool {
-	for _, n := range j.dependencies {
-		if n.lastState != "done" && n.isCancelled() {
+// dependsOnCancelled reports whether one of the job's direct or indirect dependencies is cancelled
+// and not known to be done. The cancellation of a done job has no effect on its dependents.
+func (job *userJob) dependsOnCancelled() bool {
+	for _, dependency := range job.dependencies {
+		if dependency.lastState != "done" && dependency.isCancelled() {
 			return true
 		}
 	}
 	return false
 }
 
-// cancelledSince returns since when a user may know that a job is cancelled, itself or through one
-// before it: since the first answer left that says so of one of them.
-func (j *userJob) cancelledSince() time.Time {
-	since := j.cancelledAt
-	for _, n := range j.dependencies {
-		if at := n.cancelledSince(); !at.IsZero() && (since.IsZero() || at.Before(since)) {
+// cancelledSince returns the time since which a job counts as cancelled: when a controller sent the
+// first answer that says that the job or one of its direct or indirect dependencies is cancelled.
+// It is the zero time if no controller did.
+func (job *userJob) cancelledSince() time.Time {
+	since := job.cancelledAt
+	for _, dependency := range job.dependencies {
+		if at := dependency.cancelledSince(); !at.IsZero() && (since.IsZero() || at.Before(since)) {
 			since = at
 		}
 	}
 	return since
 }
 
-// checkDependencies checks at the start of a task that all tasks of the dependencies are done and
-// that the state service has them as done, which a cancelled job never is.
-func (w *World) checkDependencies(j *userJob, name string) {
-	for _, n := range j.dependencies {
-		if n.tasksDoneAt.IsZero() {
-			w.violate("too_early", "%s starts before %s is done: %d of %d", name, n.spec.ID, len(n.doneTasks), n.spec.Tasks)
-		} else if !w.state.isJobDone(n.spec.ID) {
-			w.violate("too_early", "%s starts before the end of %s is stored", name, n.spec.ID)
+// checkDependencies checks at the start of a task that all tasks of the job's dependencies are done
+// and that the records in the state service say so. The record of a cancelled job never does.
+func (world *World) checkDependencies(job *userJob, name string) {
+	for _, dependency := range job.dependencies {
+		if dependency.tasksDoneAt.IsZero() {
+			world.violate("too_early", "%s starts before %s is done: %d of %d", name, dependency.spec.ID, len(dependency.doneTasks), dependency.spec.Tasks)
+		} else if !world.state.isJobDone(dependency.spec.ID) {
+			world.violate("too_early", "%s starts before the end of %s is stored", name, dependency.spec.ID)
 		}
 	}
 }
 
-// isJobDone reports whether a job's record says that it is done.
-func (s *StateService) isJobDone(id string) bool {
-	row := s.records["job/"+id]
-	var r struct {
+// isJobDone reports whether the record of a job says that the job is done.
+func (service *StateService) isJobDone(id string) bool {
+	row := service.records["job/"+id]
+	var rec struct {
 		Status model.JobStatus `msgpack:"s"`
 	}
-	return row != nil && msgpack.Unmarshal(row.value, &r) == nil && r.Status == model.Done
+	return row != nil && msgpack.Unmarshal(row.value, &rec) == nil && rec.Status == model.Done
 }
 
-// checkDependents checks, when an answer says that a job is cancelled, that no dependent has
-// started.
-func (w *World) checkDependents(j *userJob) {
-	for _, f := range j.dependents {
-		if len(f.firstStarts) > 0 {
-			w.violate("too_early", "%s has begun, and %s is cancelled", f.spec.ID, j.spec.ID)
+// checkDependents checks that no dependent of a job has started. It is called when a controller
+// first answers that the job is cancelled.
+func (world *World) checkDependents(job *userJob) {
+	for _, dependent := range job.dependents {
+		if len(dependent.firstStarts) > 0 {
+			world.violate("too_early", "%s has begun, and %s is cancelled", dependent.spec.ID, job.spec.ID)
 		}
 	}
 }
 
-// checkOrphan checks an answer that leaves a controller or reaches a user. For a job that was
-// submitted after a job before it was cancelled, the time counts from its submission.
-func (w *World) checkOrphan(j *userJob, r *message.UserReply) {
-	if len(j.dependencies) == 0 || r.Status != http.StatusOK || isFinal(r.State) {
+// checkOrphan checks RuleOrphaned for an answer that a controller sends or a user receives. If the
+// job was submitted after its dependency was cancelled, the time counts from the submission.
+func (world *World) checkOrphan(job *userJob, reply *message.UserReply) {
+	if len(job.dependencies) == 0 || reply.Status != http.StatusOK || isFinal(reply.State) {
 		return
 	}
-	since := j.cancelledSince()
+	since := job.cancelledSince()
 	if since.IsZero() {
 		return
 	}
-	if j.submitted.After(since) {
-		since = j.submitted
+	if job.submitted.After(since) {
+		since = job.submitted
 	}
-	left := w.cancelWithin - w.now.Sub(since)
-	w.recordMargin(RuleOrphaned, left, j.spec.ID)
-	if left < 0 && !j.orphanReported {
-		j.orphanReported = true
-		w.violate(RuleOrphaned, "%s is called %s %.1f s after one before it was cancelled", j.spec.ID, r.State, w.now.Sub(since).Seconds())
+	left := world.cancelWithin - world.now.Sub(since)
+	world.recordMargin(RuleOrphaned, left, job.spec.ID)
+	if left < 0 && !job.orphanReported {
+		job.orphanReported = true
+		world.violate(RuleOrphaned, "%s is called %s %.1f s after one before it was cancelled", job.spec.ID, reply.State, world.now.Sub(since).Seconds())
 	}
 }
 
-// checkDependencyOutcomes checks at the end of a day that a job is cancelled only if its user or a
-// dependency was, and that none is done with a dependency that is cancelled.
-func (w *World) checkDependencyOutcomes() {
-	for _, id := range sortedKeys(w.jobs) {
-		j, cancelledDependency := w.jobs[id], ""
-		for _, n := range j.dependencies {
-			if n.lastState == "cancelled" {
-				cancelledDependency = n.spec.ID
+// checkDependencyOutcomes checks at the end of a day that a job is cancelled only if its user
+// cancelled it or a dependency is cancelled, and that no job is done of which a dependency is
+// cancelled.
+func (world *World) checkDependencyOutcomes() {
+	for _, id := range sortedKeys(world.jobs) {
+		job, cancelledDependency := world.jobs[id], ""
+		for _, dependency := range job.dependencies {
+			if dependency.lastState == "cancelled" {
+				cancelledDependency = dependency.spec.ID
 			}
 		}
 		switch {
-		case j.lastState == "cancelled" && !j.cancelRequested && cancelledDependency == "":
-			w.violate("crossed", "%s is cancelled, and none that it needs", id)
-		case j.lastState == "done" && cancelledDependency != "":
-			w.violate("crossed", "%s is done, and %s that it needs is cancelled", id, cancelledDependency)
+		case job.lastState == "cancelled" && !job.cancelRequested && cancelledDependency == "":
+			world.violate("crossed", "%s is cancelled, and none that it needs", id)
+		case job.lastState == "done" && cancelledDependency != "":
+			world.violate("crossed", "%s is done, and %s that it needs is cancelled", id, cancelledDependency)
 		}
 	}
 }
--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -12,135 +12,141 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has the faults that were added last: users who cancel much at once or at the moment of
-// an end, who ask all controllers within milliseconds or send invalid requests; machines that reach
-// no controller; delayed direct commands; copies of heartbeats that are kept for the next leader;
+// This file has further faults: users who cancel many jobs at a time, cancel jobs when the last
+// task is done, ask all controllers within milliseconds or send invalid requests; machines that
+// reach no controller; delayed direct commands; copies of heartbeats that the next leader receives;
 // and slow controllers.
 
-// extraFaultKinds are these faults. A kind that stands more often is drawn more often. A name with
-// a point is a variant of the kind before the point.
+// extraFaultKinds are the kinds of the faults of this file. Faults are drawn uniformly from the
+// list, so a repeated kind is drawn more often. A name with a point means a variant of the kind
+// before the point.
 var extraFaultKinds = []string{
 	"cancel_now", "cancel_now", "cancel_at_end", "machine_mute", "machine_mute", "odd_requests", "close_looks",
 	"late_writes.at_once", "copies.for_next", "copies.for_next", "late_commands", "late_commands", "late_commands", "slow_node",
 }
 
 const (
-	// massCancelWithin is how soon cancel_now cancels its jobs, maxHungMachines how many of their
-	// machines hang at most, and minRemainingRunTime the run time that tasks must have left for
-	// their job to be chosen.
+	// massCancelWithin is the time within which cancel_now cancels its jobs. maxHungMachines is the
+	// maximum number of their machines that hang. minRemainingRunTime is the run time that a task
+	// of a job must have left for the job to be cancelled.
 	massCancelWithin    = 200 * time.Millisecond
 	maxHungMachines     = 8
 	minRemainingRunTime = 20 * time.Second
-	// minCommandDelay and maxCommandDelay bound how late a delayed direct command is carried out.
+	// minCommandDelay and maxCommandDelay bound the delay of a delayed direct command.
 	minCommandDelay = 2 * time.Second
 	maxCommandDelay = 16 * time.Second
-	// invalidRequestInterval is how often an invalid request is sent.
+	// invalidRequestInterval is the mean interval between invalid requests.
 	invalidRequestInterval = 250 * time.Millisecond
-	// concurrentReadWindow is how soon users ask all controllers, readsPerController how often
-	// each; one in cancelOneIn cancels at once.
+	// concurrentReadWindow is the time within which a user queries all controllers, and
+	// readsPerController the number of queries to each. One in cancelOneIn of these users cancels
+	// the job in the same window.
 	concurrentReadWindow = 20 * time.Millisecond
 	readsPerController   = 2
 	cancelOneIn          = 10
-	// stepBaseTime is about what a controller's step takes, and stepItemTime what each command and
-	// effect adds.
+	// stepBaseTime is the usual duration of a controller's step, and stepItemTime the time that
+	// each command and effect adds to it.
 	stepBaseTime = time.Millisecond
 	stepItemTime = 200 * time.Microsecond
-	// maxHeldHeartbeats bounds the copies that are kept for the next leader.
+	// maxHeldHeartbeats is the maximum number of heartbeat copies that are kept for the next
+	// leader.
 	maxHeldHeartbeats = 1000
 )
 
-// extraFaultState is the state of these faults in a world.
+// extraFaultState is the state of this file's faults in a world.
 type extraFaultState struct {
-	// lateCommandRate is the part of the direct commands that are delayed, until lateCommandsUntil.
+	// lateCommandRate is the fraction of the direct commands that are delayed. The fault lasts
+	// until lateCommandsUntil.
 	lateCommandRate   float64
 	lateCommandsUntil time.Time
-	// lateCommandsDone counts delayed commands that were carried out, and heartbeatsReplayed copies
-	// that reached a next leader.
+	// lateCommandsDone counts the delayed commands that a worker accepted. heartbeatsReplayed
+	// counts the kept heartbeats that were sent after a change of the leader.
 	lateCommandsDone, heartbeatsReplayed int
-	// cancelAtEndRate is the part of the jobs that are cancelled at their end, until
-	// cancelAtEndUntil.
+	// cancelAtEndRate is the fraction of the jobs that are cancelled when their last task is done.
+	// The fault lasts until cancelAtEndUntil.
 	cancelAtEndRate  float64
 	cancelAtEndUntil time.Time
-	// invalidRequestsUntil and concurrentReadsUntil: until then users send invalid requests, or
-	// read concurrently.
+	// invalidRequestsUntil and concurrentReadsUntil are the times until which users send invalid
+	// requests and concurrent reads.
 	invalidRequestsUntil, concurrentReadsUntil time.Time
-	// loseWriteResponses: late writes are carried out at once, and only the answer is lost.
+	// loseWriteResponses makes late writes execute at once, so that only their answers are lost.
 	loseWriteResponses bool
-	// replayToNextLeader: copies of heartbeats are kept in heldHeartbeats until another controller
-	// leads than leaderAtCapture, or until holdHeartbeatsUntil.
+	// replayToNextLeader makes the world keep copies of heartbeats in heldHeartbeats. The copies
+	// are sent when a controller other than leaderAtCapture is the leader, and dropped at
+	// holdHeartbeatsUntil.
 	replayToNextLeader  bool
 	heldHeartbeats      []model.Heartbeat
 	holdHeartbeatsUntil time.Time
 	leaderAtCapture     string
-	// invalidJobs counts submissions of invalid jobs.
+	// invalidJobs counts the invalid jobs that were submitted.
 	invalidJobs int
 }
 
-// generateExtraFault draws one of this file's faults, without its begin.
-func (d *Day) generateExtraFault(rng *rand.Rand) Fault {
+// generateExtraFault draws a fault of this file. The caller sets At.
+func (day *Day) generateExtraFault(rng *rand.Rand) Fault {
 	kind := extraFaultKinds[rng.IntN(len(extraFaultKinds))]
-	oneOf := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
-	f := Fault{Kind: kind, Duration: logUniform(rng, 8*time.Second, 90*time.Second), Controller: rng.IntN(d.Controllers)}
+	oneOf := func(values ...float64) float64 { return values[rng.IntN(len(values))] }
+	fault := Fault{Kind: kind, Duration: logUniform(rng, 8*time.Second, 90*time.Second), Controller: rng.IntN(day.Controllers)}
 	switch kind {
 	case "cancel_now":
-		f.Count, f.Duration = 1+rng.IntN(40), time.Second
+		fault.Count, fault.Duration = 1+rng.IntN(40), time.Second
 		if rng.IntN(3) > 0 {
-			f.Duration = logUniform(rng, time.Second, 2*d.cancelWithin())
+			fault.Duration = logUniform(rng, time.Second, 2*day.cancelWithin())
 		}
 	case "cancel_at_end":
-		f.Fraction = oneOf(0.1, 0.5, 1)
+		fault.Fraction = oneOf(0.1, 0.5, 1)
 	case "machine_mute":
-		f.Fraction = oneOf(1e-9, 0.1, 1)
-		if f.Fraction == 1 {
-			f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
+		fault.Fraction = oneOf(1e-9, 0.1, 1)
+		if fault.Fraction == 1 {
+			fault.Zone = day.Settings.Zones[len(day.Settings.Zones)-1]
 		}
 	case "late_writes.at_once":
-		f.Kind, f.Immediate, f.Fraction = "late_writes", true, oneOf(0.05, 0.2, 0.5)
+		fault.Kind, fault.Immediate, fault.Fraction = "late_writes", true, oneOf(0.05, 0.2, 0.5)
 	case "copies.for_next":
-		f.Kind, f.ForNextLeader = "copies", true
-		f.Delay, f.Fraction = logUniform(rng, 2*time.Second, 5*d.Settings.WorkerLease), oneOf(0.05, 0.3, 1)
+		fault.Kind, fault.ForNextLeader = "copies", true
+		fault.Delay, fault.Fraction = logUniform(rng, 2*time.Second, 5*day.Settings.WorkerLease), oneOf(0.05, 0.3, 1)
 	case "late_commands":
-		f.Fraction = oneOf(0.05, 0.3, 1)
+		fault.Fraction = oneOf(0.05, 0.3, 1)
 	case "slow_node":
-		f.SlowFactor, f.Busiest = 4+16*rng.Float64(), rng.IntN(3) > 0
+		fault.SlowFactor, fault.Busiest = 4+16*rng.Float64(), rng.IntN(3) > 0
 	}
-	return f
+	return fault
 }
 
-// startExtraFault begins a fault of this file, and reports whether it is one.
-func (w *World) startExtraFault(f Fault, rng *rand.Rand) bool {
-	until := w.now.Add(f.Duration)
-	switch f.Kind {
+// startExtraFault begins a fault if its kind belongs to this file, and reports whether it does.
+func (world *World) startExtraFault(fault Fault, rng *rand.Rand) bool {
+	until := world.now.Add(fault.Duration)
+	switch fault.Kind {
 	case "cancel_now":
-		w.CancelLongRunning(f.Count, f.Duration)
+		world.CancelLongRunning(fault.Count, fault.Duration)
 	case "cancel_at_end":
-		w.cancelAtEndRate, w.cancelAtEndUntil = f.Fraction, until
+		world.cancelAtEndRate, world.cancelAtEndUntil = fault.Fraction, until
 	case "machine_mute":
-		w.MakeUnheard(w.SampleMachineIDs(f.Fraction, f.Zone, rng), f.Duration)
+		world.MakeUnheard(world.SampleMachineIDs(fault.Fraction, fault.Zone, rng), fault.Duration)
 	case "odd_requests":
-		w.SendInvalidRequests(f.Duration)
+		world.SendInvalidRequests(fault.Duration)
 	case "close_looks":
-		w.concurrentReadsUntil = until
+		world.concurrentReadsUntil = until
 	case "late_commands":
-		w.DelayCommands(f.Fraction, f.Duration)
+		world.DelayCommands(fault.Fraction, fault.Duration)
 	case "slow_node":
-		p := w.controllers[f.Controller%len(w.controllers)]
-		p.slowUntil, p.slowFactor = until, f.SlowFactor
+		process := world.controllers[fault.Controller%len(world.controllers)]
+		process.slowUntil, process.slowFactor = until, fault.SlowFactor
 	default:
 		return false
 	}
 	return true
 }
 
-// CancelLongRunning cancels up to count jobs that run and have long to go, within massCancelWithin.
-// Up to maxHungMachines of their machines hang for that long, unless hang is 0.
-func (w *World) CancelLongRunning(count int, hang time.Duration) {
+// CancelLongRunning cancels up to count running jobs within massCancelWithin: the jobs with the
+// longest remaining run time, of at least minRemainingRunTime. Up to maxHungMachines of their
+// machines hang for the duration hang from the cancellation on.
+func (world *World) CancelLongRunning(count int, hang time.Duration) {
 	remaining := map[string]time.Duration{}
-	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
-		w.eachRunningTask(j, func(t *workerTask, _ *Worker) {
-			if !j.cancelRequested && t.status == model.Running {
-				remaining[id] = max(remaining[id], t.remaining)
+	for _, id := range sortedKeys(world.jobs) {
+		job := world.jobs[id]
+		world.eachRunningTask(job, func(task *workerTask, _ *Worker) {
+			if !job.cancelRequested && task.status == model.Running {
+				remaining[id] = max(remaining[id], task.remaining)
 			}
 		})
 	}
@@ -148,81 +154,85 @@
 	slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(remaining[b], remaining[a]) })
 	hung := map[*Worker]bool{}
 	for _, id := range ids[:min(count, len(ids))] {
-		w.schedule(time.Duration(w.rng.Int64N(int64(massCancelWithin))), func() {
-			w.Cancel(id)
-			w.eachRunningTask(w.jobs[id], func(_ *workerTask, m *Worker) {
-				if hang > 0 && len(hung) < maxHungMachines && !hung[m] {
-					hung[m] = true
-					m.hungUntil = w.now.Add(hang)
+		world.schedule(time.Duration(world.rng.Int64N(int64(massCancelWithin))), func() {
+			world.Cancel(id)
+			world.eachRunningTask(world.jobs[id], func(_ *workerTask, machine *Worker) {
+				if hang > 0 && len(hung) < maxHungMachines && !hung[machine] {
+					hung[machine] = true
+					machine.hungUntil = world.now.Add(hang)
 				}
 			})
 		})
 	}
 }
 
-// eachRunningTask calls fn with all attempts of a job that are on machines.
-func (w *World) eachRunningTask(j *userJob, fn func(*workerTask, *Worker)) {
-	for i := range j.spec.Tasks {
-		for _, m := range j.machines[i] {
-			for _, k := range sortedKeys(m.tasks) {
-				if t := m.tasks[k]; t.job == j && t.index == i && t.onMachine() {
-					fn(t, m)
+// eachRunningTask calls fn with each attempt of a job that takes resources of a machine.
+func (world *World) eachRunningTask(job *userJob, fn func(*workerTask, *Worker)) {
+	for i := range job.spec.Tasks {
+		for _, machine := range job.machines[i] {
+			for _, k := range sortedKeys(machine.tasks) {
+				if task := machine.tasks[k]; task.job == job && task.index == i && task.onMachine() {
+					fn(task, machine)
 				}
 			}
 		}
 	}
 }
 
-// maybeCancelAtEnd cancels some jobs at the moment when their last task is done.
-func (w *World) maybeCancelAtEnd(j *userJob) {
-	if len(j.doneTasks) < j.spec.Tasks || j.cancelRequested || !w.now.Before(w.cancelAtEndUntil) || w.rng.Float64() >= w.cancelAtEndRate {
+// maybeCancelAtEnd cancels a job whose last task is done, with probability cancelAtEndRate while
+// the fault lasts.
+func (world *World) maybeCancelAtEnd(job *userJob) {
+	if len(job.doneTasks) < job.spec.Tasks || job.cancelRequested || !world.now.Before(world.cancelAtEndUntil) || world.rng.Float64() >= world.cancelAtEndRate {
 		return
 	}
-	w.Cancel(j.spec.ID)
+	world.Cancel(job.spec.ID)
 }
 
-// MakeUnheard keeps machines from reaching any controller for d, while direct requests reach them
-// and are answered.
-func (w *World) MakeUnheard(ids []string, d time.Duration) {
+// MakeUnheard keeps the heartbeats of machines from reaching any controller for the given duration.
+// Direct requests still reach the machines and are answered.
+func (world *World) MakeUnheard(ids []string, duration time.Duration) {
 	for _, id := range ids {
-		if m := w.machines[id]; m != nil {
-			m.unheardUntil = w.now.Add(d)
+		if machine := world.machines[id]; machine != nil {
+			machine.unheardUntil = world.now.Add(duration)
 		}
 	}
 }
 
-// delayForCompute pauses a slow process for what a step took, before it sends the effects.
-func (p *controllerProcess) delayForCompute(commands, effects int) {
-	w := p.world
-	if !w.now.Before(p.slowUntil) || commands+effects == 0 || w.now.Before(p.pausedUntil) {
+// delayForCompute pauses a slow process for the duration of a step, so that it sends the effects of
+// the step later.
+func (process *controllerProcess) delayForCompute(commands, effects int) {
+	world := process.world
+	if !world.now.Before(process.slowUntil) || commands+effects == 0 || world.now.Before(process.pausedUntil) {
 		return
 	}
 	took := stepBaseTime + time.Duration(commands+effects)*stepItemTime
-	p.pausedUntil = w.now.Add(time.Duration(p.slowFactor * float64(took)))
-	w.resumeWhenDue(p)
+	process.pausedUntil = world.now.Add(time.Duration(process.slowFactor * float64(took)))
+	world.resumeWhenDue(process)
 }
 
-// DelayCommands delays a part of the direct commands of the next d. They get no answer, and are
-// carried out once, late, if epoch and incarnation still match.
-func (w *World) DelayCommands(fraction float64, d time.Duration) {
-	w.lateCommandRate, w.lateCommandsUntil = fraction, w.now.Add(d)
+// DelayCommands delays a fraction of the direct commands that controllers send during the given
+// duration. A delayed command gets no answer. The worker executes it once, late, if epoch and
+// incarnation still match.
+func (world *World) DelayCommands(fraction float64, duration time.Duration) {
+	world.lateCommandRate, world.lateCommandsUntil = fraction, world.now.Add(duration)
 }
 
-// delayCommand reports whether a direct request to m is delayed, and delivers it later.
-func (p *controllerProcess) delayCommand(m *Worker, op message.WorkerRequest) bool {
-	w := p.world
-	if op.StatusOnly || !w.now.Before(w.lateCommandsUntil) || w.rng.Float64() >= w.lateCommandRate {
+// delayCommand decides whether a direct request to machine is delayed and reports it. It schedules
+// the delivery of a delayed request, which is lost if the worker restarts before.
+func (process *controllerProcess) delayCommand(machine *Worker, request message.WorkerRequest) bool {
+	world := process.world
+	if request.StatusOnly || !world.now.Before(world.lateCommandsUntil) || world.rng.Float64() >= world.lateCommandRate {
 		return false
 	}
-	process := m.process
-	d := minCommandDelay + time.Duration(w.rng.Int64N(int64(maxCommandDelay-minCommandDelay)))
-	w.schedule(d, func() {
-		if m.process != process {
+	workerProcess := machine.process
+	duration := minCommandDelay + time.Duration(world.rng.Int64N(int64(maxCommandDelay-minCommandDelay)))
+	world.schedule(duration, func() {
+		if machine.process != workerProcess {
 			return
 		}
-		w.sendMessage(p.name, m.ID, func() {
-			if !w.now.Before(m.upAt) && w.executeDirect(m, op).OK {
-				w.lateCommandsDone++
+		world.sendMessage(process.name, machine.ID, func() {
+			if !world.now.Before(machine.upAt) && world.executeDirect(machine, request).OK {
+				world.lateCommandsDone++
 			}
 		})
 	})
@@ -230,143 +240,146 @@
 }
 
 // holdHeartbeat keeps a copy of a heartbeat for the next leader.
-func (w *World) holdHeartbeat(r model.Heartbeat) {
-	if len(w.heldHeartbeats) == 0 {
-		w.leaderAtCapture = w.leaderName()
+func (world *World) holdHeartbeat(heartbeat model.Heartbeat) {
+	if len(world.heldHeartbeats) == 0 {
+		world.leaderAtCapture = world.leaderName()
 	}
-	if len(w.heldHeartbeats) < maxHeldHeartbeats {
-		w.heldHeartbeats = append(w.heldHeartbeats, r)
+	if len(world.heldHeartbeats) < maxHeldHeartbeats {
+		world.heldHeartbeats = append(world.heldHeartbeats, heartbeat)
 	}
 }
 
-// replayHeldHeartbeats delivers the kept copies to every controller, in random order, as soon as
-// another one leads.
-func (w *World) replayHeldHeartbeats() {
-	if len(w.heldHeartbeats) == 0 {
+// replayHeldHeartbeats delivers the kept heartbeats to every controller, in random order within a
+// second, as soon as another controller is the leader.
+func (world *World) replayHeldHeartbeats() {
+	if len(world.heldHeartbeats) == 0 {
 		return
 	}
-	if !w.now.Before(w.holdHeartbeatsUntil) {
-		w.heldHeartbeats = nil
+	if !world.now.Before(world.holdHeartbeatsUntil) {
+		world.heldHeartbeats = nil
 		return
 	}
-	leader := w.leaderName()
-	if leader == "" || leader == w.leaderAtCapture {
+	leader := world.leaderName()
+	if leader == "" || leader == world.leaderAtCapture {
 		return
 	}
-	held := w.heldHeartbeats
-	w.heldHeartbeats = nil
-	w.heartbeatsReplayed += len(held)
-	for _, p := range w.controllers {
-		for _, r := range held {
-			w.schedule(time.Duration(w.rng.Int64N(int64(time.Second))), func() {
-				p.deliverHeartbeat(r, func(message.Effect) {})
+	held := world.heldHeartbeats
+	world.heldHeartbeats = nil
+	world.heartbeatsReplayed += len(held)
+	for _, process := range world.controllers {
+		for _, heartbeat := range held {
+			world.schedule(time.Duration(world.rng.Int64N(int64(time.Second))), func() {
+				process.deliverHeartbeat(heartbeat, func(message.Effect) {})
 			})
 		}
 	}
 }
 
-// readConcurrently queries a job at all controllers within milliseconds of an answer about it, and
-// repeats its submission. Some users cancel at once.
-func (w *World) readConcurrently(j *userJob) {
-	if !w.now.Before(w.concurrentReadsUntil) {
+// readConcurrently queries a job and repeats its submission at all controllers within
+// concurrentReadWindow, while the fault lasts. It is called after an answer with a new state. Some
+// users also cancel the job.
+func (world *World) readConcurrently(job *userJob) {
+	if !world.now.Before(world.concurrentReadsUntil) {
 		return
 	}
-	withinWindow := func() time.Duration { return time.Duration(w.rng.Int64N(int64(concurrentReadWindow))) }
-	for i := range w.controllers {
+	withinWindow := func() time.Duration { return time.Duration(world.rng.Int64N(int64(concurrentReadWindow))) }
+	for i := range world.controllers {
 		for range readsPerController {
-			w.schedule(withinWindow(), func() {
-				w.checkedRequest(i, j, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: j.spec.ID} })
+			world.schedule(withinWindow(), func() {
+				world.checkedRequest(i, job, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: job.spec.ID} })
 			})
 		}
-		w.schedule(withinWindow(), func() {
-			w.checkedRequest(i, j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
+		world.schedule(withinWindow(), func() {
+			world.checkedRequest(i, job, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: job.spec} })
 		})
 	}
-	if !j.cancelRequested && !isFinal(j.lastState) && w.rng.IntN(cancelOneIn) == 0 {
-		j.cancelRequested = true
-		w.schedule(withinWindow(), func() { w.Cancel(j.spec.ID) })
+	if !job.cancelRequested && !isFinal(job.lastState) && world.rng.IntN(cancelOneIn) == 0 {
+		job.cancelRequested = true
+		world.schedule(withinWindow(), func() { world.Cancel(job.spec.ID) })
 	}
 }
 
-// isFinal reports whether a job's state is final.
+// isFinal reports whether a job in this state stays in it.
 func isFinal(state string) bool { return state == "done" || state == "cancelled" }
 
-// checkedRequest sends a request about a job to one controller. The answer must not be older than
-// what the user knew when it was sent.
-func (w *World) checkedRequest(to int, j *userJob, newCommand func(uint64) message.Command) {
-	id, lastState, requestedAt := j.spec.ID, j.lastState, w.now
-	w.userRequestTo(to, newCommand, 2*time.Second, func(r *message.UserReply) {
+// checkedRequest sends a request about an accepted job to one controller. The answer must agree
+// with what the user knew when he sent the request: the job exists, and a final state has not
+// changed.
+func (world *World) checkedRequest(to int, job *userJob, newCommand func(uint64) message.Command) {
+	id, lastState, requestedAt := job.spec.ID, job.lastState, world.now
+	world.userRequestTo(to, newCommand, 2*time.Second, func(reply *message.UserReply) {
 		switch {
-		case r == nil:
-		case r.Status == http.StatusNotFound || r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity:
-			w.violate("forgotten", "%s answered %d by %s", id, r.Status, w.controllers[to].name)
-		case r.Status != http.StatusOK && r.Status != http.StatusCreated:
-		case isFinal(lastState) && r.State != lastState:
-			w.violate("went_back", "%s was %s, is called %s by %s", id, lastState, r.State, w.controllers[to].name)
-		case isFinal(r.State) && !isFinal(j.lastState):
-			w.checkAnswer(j, requestedAt, r)
+		case reply == nil:
+		case reply.Status == http.StatusNotFound || reply.Status == http.StatusBadRequest || reply.Status == http.StatusUnprocessableEntity:
+			world.violate("forgotten", "%s answered %d by %s", id, reply.Status, world.controllers[to].name)
+		case reply.Status != http.StatusOK && reply.Status != http.StatusCreated:
+		case isFinal(lastState) && reply.State != lastState:
+			world.violate("went_back", "%s was %s, is called %s by %s", id, lastState, reply.State, world.controllers[to].name)
+		case isFinal(reply.State) && !isFinal(job.lastState):
+			world.checkAnswer(job, requestedAt, reply)
 		}
 	})
 }
 
-// SendInvalidRequests repeats submissions of unfinished jobs, cancels done ones, and submits jobs
-// that fit no machine or lack a field, for d.
-func (w *World) SendInvalidRequests(d time.Duration) {
-	running := w.now.Before(w.invalidRequestsUntil)
-	w.invalidRequestsUntil = w.now.Add(d)
+// SendInvalidRequests makes users send superfluous and invalid requests for the given duration:
+// they submit unfinished jobs again, cancel done jobs, and submit jobs that fit no machine or lack
+// a field.
+func (world *World) SendInvalidRequests(duration time.Duration) {
+	running := world.now.Before(world.invalidRequestsUntil)
+	world.invalidRequestsUntil = world.now.Add(duration)
 	if !running {
-		w.sendNextInvalidRequest()
+		world.sendNextInvalidRequest()
 	}
 }
 
-// sendNextInvalidRequest sends one such request and schedules the next.
-func (w *World) sendNextInvalidRequest() {
-	if !w.now.Before(w.invalidRequestsUntil) {
+// sendNextInvalidRequest sends one request of SendInvalidRequests and schedules the next.
+func (world *World) sendNextInvalidRequest() {
+	if !world.now.Before(world.invalidRequestsUntil) {
 		return
 	}
-	w.schedule(w.jitter(invalidRequestInterval), w.sendNextInvalidRequest)
+	world.schedule(world.jitter(invalidRequestInterval), world.sendNextInvalidRequest)
 	var unfinished, done []*userJob
-	for _, id := range sortedKeys(w.jobs) {
-		switch j := w.jobs[id]; {
-		case j.lastState == "done" && !j.cancelRequested:
-			done = append(done, j)
-		case j.accepted && !isFinal(j.lastState):
-			unfinished = append(unfinished, j)
+	for _, id := range sortedKeys(world.jobs) {
+		switch job := world.jobs[id]; {
+		case job.lastState == "done" && !job.cancelRequested:
+			done = append(done, job)
+		case job.accepted && !isFinal(job.lastState):
+			unfinished = append(unfinished, job)
 		}
 	}
-	switch k := w.rng.IntN(4); {
+	switch k := world.rng.IntN(4); {
 	case k == 0 && len(unfinished) > 0:
-		j := unfinished[w.rng.IntN(len(unfinished))]
-		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
+		job := unfinished[world.rng.IntN(len(unfinished))]
+		world.checkedRequest(world.rng.IntN(len(world.controllers)), job, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: job.spec} })
 	case k == 1 && len(done) > 0:
-		j := done[w.rng.IntN(len(done))]
-		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: j.spec.ID} })
+		job := done[world.rng.IntN(len(done))]
+		world.checkedRequest(world.rng.IntN(len(world.controllers)), job, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: job.spec.ID} })
 	case k >= 2 && len(unfinished) > 0:
-		w.submitInvalidJob(unfinished[w.rng.IntN(len(unfinished))].spec)
+		world.submitInvalidJob(unfinished[world.rng.IntN(len(unfinished))].spec)
 	}
 }
 
-// submitInvalidJob submits a job like s that fits no machine, names something unknown, or lacks a
-// field. It must not be accepted.
-func (w *World) submitInvalidJob(s model.JobSpec) {
-	w.invalidJobs++
-	s.ID = fmt.Sprintf("job-8%05d", w.invalidJobs)
-	c := message.SubmitJob{Spec: s}
-	switch w.rng.IntN(5) {
+// submitInvalidJob submits a variant of spec that fits no machine, names an unknown machine type,
+// zone or team, or lacks a field. The controllers must not accept it.
+func (world *World) submitInvalidJob(spec model.JobSpec) {
+	world.invalidJobs++
+	spec.ID = fmt.Sprintf("job-8%05d", world.invalidJobs)
+	request := message.SubmitJob{Spec: spec}
+	switch world.rng.IntN(5) {
 	case 0:
-		c.Spec.Need.CPU = 1e6
+		request.Spec.Need.CPU = 1e6
 	case 1:
-		c.Spec.MachineTypes = []string{"none"}
+		request.Spec.MachineTypes = []string{"none"}
 	case 2:
-		c.Spec.Zone = "nowhere"
+		request.Spec.Zone = "nowhere"
 	case 3:
-		c.Spec.Team = "nobody"
+		request.Spec.Team = "nobody"
 	case 4:
-		c = message.SubmitJob{Spec: model.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
+		request = message.SubmitJob{Spec: model.JobSpec{ID: spec.ID}, MalformedReason: "pieces is missing"}
 	}
-	w.userRequest(func(r uint64) message.Command { c.Reply = r; return c }, 5*time.Second, func(r *message.UserReply) {
-		if r != nil && (r.Status == http.StatusOK || r.Status == http.StatusCreated) {
-			w.violate("accepted_odd", "%s answered %d", s.ID, r.Status)
+	world.userRequest(func(reply uint64) message.Command { request.Reply = reply; return request }, 5*time.Second, func(reply *message.UserReply) {
+		if reply != nil && (reply.Status == http.StatusOK || reply.Status == http.StatusCreated) {
+			world.violate("accepted_odd", "%s answered %d", spec.ID, reply.Status)
 		}
 	})
 }
--- a/internal/simulation/mixed_jobs.go
+++ b/internal/simulation/mixed_jobs.go
@@ -7,63 +7,64 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// This file has days with jobs of many kinds, not only arrays that may run anywhere, and with
-// controllers whose clocks are off.
+// This file varies the ordinary jobs of a day, which otherwise are array jobs without placement
+// constraints, and skews the clocks of the controllers.
 
 const (
-	// maxClockSkew is how far a controller's clock may be off.
+	// maxClockSkew bounds the skew of a controller's clock in both directions.
 	maxClockSkew = 250 * time.Millisecond
-	// minServiceTime and maxServiceTime bound how long a long-running job lasts before it is
-	// cancelled.
+	// minServiceTime and maxServiceTime bound the time from the submission of a long-running job to
+	// its cancellation.
 	minServiceTime = 40 * time.Second
 	maxServiceTime = 150 * time.Second
 )
 
-// jobMix varies the kinds of a day's jobs, with random numbers of its own. A nil jobMix changes
-// nothing.
+// jobMix varies the kinds of a day's jobs. It has its own random stream. The methods that vary jobs
+// and skew clocks do nothing on a nil jobMix.
 type jobMix struct {
 	rng   *rand.Rand
 	zones []string
 }
 
-// newJobMix returns the job mix of a day, nil unless MixedJobs is set.
-func newJobMix(d *Day) *jobMix {
-	if !d.MixedJobs {
+// newJobMix returns the job mix of a day, or nil if MixedJobs is not set.
+func newJobMix(day *Day) *jobMix {
+	if !day.MixedJobs {
 		return nil
 	}
-	return &jobMix{rand.New(rand.NewPCG(d.Seed, 819)), d.Settings.Zones}
+	return &jobMix{rand.New(rand.NewPCG(day.Seed, 819)), day.Settings.Zones}
 }
 
-// skewClocks sets each controller's clock off by up to maxClockSkew.
-func (x *jobMix) skewClocks(w *World) {
-	if x == nil {
+// skewClocks draws the skew of each controller's clock.
+func (mix *jobMix) skewClocks(world *World) {
+	if mix == nil {
 		return
 	}
-	for _, p := range w.controllers {
-		p.clockSkew = time.Duration((2*x.rng.Float64() - 1) * float64(maxClockSkew))
+	for _, process := range world.controllers {
+		process.clockSkew = time.Duration((2*mix.rng.Float64() - 1) * float64(maxClockSkew))
 	}
 }
 
-// varyJob turns a job into one of another kind, or leaves it.
-func (x *jobMix) varyJob(s *model.JobSpec) {
-	if x == nil {
+// varyJob draws a variant of a job: with checkpoints, with a placement constraint, long-running, or
+// unchanged.
+func (mix *jobMix) varyJob(spec *model.JobSpec) {
+	if mix == nil {
 		return
 	}
-	switch k := x.rng.IntN(12); {
+	switch k := mix.rng.IntN(12); {
 	case k < 3:
-		s.CheckpointInterval, s.CheckpointCost = 10*time.Second, time.Duration(1+x.rng.IntN(20))*time.Second
+		spec.CheckpointInterval, spec.CheckpointCost = 10*time.Second, time.Duration(1+mix.rng.IntN(20))*time.Second
 	case k < 5:
-		s.Zone = x.zones[x.rng.IntN(len(x.zones))]
+		spec.Zone = mix.zones[mix.rng.IntN(len(mix.zones))]
 	case k < 6:
-		s.SameZone = true
+		spec.SameZone = true
 	case k < 7:
-		s.SpreadZones = true
+		spec.SpreadZones = true
 	case k < 8:
-		s.LongRunning, s.Deadline, s.ExpectedRunTime = true, 0, 0
+		spec.LongRunning, spec.Deadline, spec.ExpectedRunTime = true, 0, 0
 	}
 }
 
-// serviceTime draws how long a long-running job lasts before it is cancelled.
-func (x *jobMix) serviceTime() time.Duration {
-	return logUniform(x.rng, minServiceTime, maxServiceTime)
+// serviceTime draws the time from the submission of a long-running job to its cancellation.
+func (mix *jobMix) serviceTime() time.Duration {
+	return logUniform(mix.rng, minServiceTime, maxServiceTime)
 }
--- a/internal/simulation/search.go
+++ b/internal/simulation/search.go
@@ -12,104 +12,106 @@
 	"github.com/micahill/micahill/internal/search"
 )
 
-// This file draws days for a search by the margins that they leave, mutates them, and keeps them as
-// files that can be played again.
+// This file defines the search for the days with the smallest margins: it draws, mutates and
+// evaluates days. It also saves days to files and loads them.
 
 const (
-	// maxSearchFaults bounds the faults of a day of a search.
+	// maxSearchFaults is the number of faults from which on a mutation adds no fault.
 	maxSearchFaults = 6
-	// maxSearchShift is how far a mutation shifts a fault.
+	// maxSearchShift is the longest time by which a mutation shifts a fault.
 	maxSearchShift = 20 * time.Second
-	// firstSearchFault is when the first fault may begin, and lastSearchFaultAfter how long after
-	// the last submission the last one may.
+	// firstSearchFault is the earliest begin of a fault, counted from the day's begin, and
+	// lastSearchFaultAfter the latest, counted from the last submission.
 	firstSearchFault     = 20 * time.Second
 	lastSearchFaultAfter = time.Minute
-	// minSearchMachines is the least number of machines of a drawn day, which has up to four times
-	// as many, and searchMinutes how long jobs are submitted: many short days find more than a few
-	// long ones.
+	// minSearchMachines is the smallest number of machines of a drawn day; the largest is almost
+	// four times as many. searchMinutes is how long jobs are submitted: in the same time, many
+	// short days find more than a few long ones.
 	minSearchMachines = 15
 	searchMinutes     = 2
 )
 
-// UntimedRules names the margin of all rules without a time: 1, or -1 if a rule is broken.
+// UntimedRules is the name of a margin for all rules that bound no duration. It is -1 if the day
+// has a violation of any rule, otherwise 1.
 const UntimedRules = "others"
 
-// SearchProblem is the search among days with overlapping faults like p, whose zeros are drawn.
-// onResult is called with each day that was played, from several goroutines at a time.
-func SearchProblem(p DayParams, onResult func(DayResult)) search.Problem[Day] {
+// SearchProblem returns the search problem over days with overlapping faults and the given
+// parameters; parameters that are 0 are drawn. onResult is called with the result of each day, from
+// several goroutines at a time.
+func SearchProblem(params DayParams, onResult func(DayResult)) search.Problem[Day] {
 	return search.Problem[Day]{
 		Generate: func(rng *rand.Rand) Day {
-			x := p
-			x.Seed, x.OverlappingFaults = rng.Uint64N(1<<32), true
-			x.Minutes = cmp.Or(x.Minutes, searchMinutes)
-			x.MixedJobs = x.MixedJobs || rng.IntN(2) == 0
-			x.CancelMarginS = cmp.Or(x.CancelMarginS, []int{0, 0, 10, 4}[rng.IntN(4)])
-			if x.Machines == 0 {
-				x.Machines = minSearchMachines + rng.IntN(3*minSearchMachines)
+			drawn := params
+			drawn.Seed, drawn.OverlappingFaults = rng.Uint64N(1<<32), true
+			drawn.Minutes = cmp.Or(drawn.Minutes, searchMinutes)
+			drawn.MixedJobs = drawn.MixedJobs || rng.IntN(2) == 0
+			drawn.CancelMarginS = cmp.Or(drawn.CancelMarginS, []int{0, 0, 10, 4}[rng.IntN(4)])
+			if drawn.Machines == 0 {
+				drawn.Machines = minSearchMachines + rng.IntN(3*minSearchMachines)
 			}
-			d := GenerateDay(x)
+			day := GenerateDay(drawn)
 			if rng.IntN(2) == 0 {
-				d.addFault(rng, d.generateAnyFault(rng))
+				day.addFault(rng, day.generateAnyFault(rng))
 			}
-			return d
+			return day
 		},
-		Mutate: func(rng *rand.Rand, d Day) Day {
+		Mutate: func(rng *rand.Rand, day Day) Day {
 			for range 1 + rng.IntN(3) {
-				d = d.mutated(rng)
+				day = day.mutated(rng)
 			}
-			return d
+			return day
 		},
-		Evaluate: func(d Day) map[string]float64 {
-			r := RunDay(d, "")
-			onResult(r)
-			return r.margins()
+		Evaluate: func(day Day) map[string]float64 {
+			result := RunDay(day, "")
+			onResult(result)
+			return result.margins()
 		},
 	}
 }
 
-// margins returns the seconds that are left to each timed rule, and UntimedRules.
-func (r *DayResult) margins() map[string]float64 {
+// margins returns the margin of each timed rule in seconds, and that of UntimedRules.
+func (result *DayResult) margins() map[string]float64 {
 	out := map[string]float64{UntimedRules: 1}
-	if len(r.Violations) > 0 {
+	if len(result.Violations) > 0 {
 		out[UntimedRules] = -1
 	}
-	for rule, s := range r.Margins {
-		out[rule] = s.Remaining.Seconds()
+	for rule, margin := range result.Margins {
+		out[rule] = margin.Remaining.Seconds()
 	}
 	return out
 }
 
-// generateAnyFault draws a fault of any kind that begins within the day.
-func (d *Day) generateAnyFault(rng *rand.Rand) Fault {
-	f := d.generateFault(rng)
+// generateAnyFault draws a fault of overlapFaultKinds or extraFaultKinds with its begin.
+func (day *Day) generateAnyFault(rng *rand.Rand) Fault {
+	fault := day.generateFault(rng)
 	if rng.IntN(2) == 0 {
-		f = d.generateExtraFault(rng)
+		fault = day.generateExtraFault(rng)
 	}
-	f.At = d.clampFaultStart(time.Duration(rng.Float64() * float64(d.latestFaultStart())))
-	return f
+	fault.At = day.clampFaultStart(time.Duration(rng.Float64() * float64(day.latestFaultStart())))
+	return fault
 }
 
-// latestFaultStart returns when the last fault of a day of a search may begin.
-func (d *Day) latestFaultStart() time.Duration {
-	return time.Duration(d.Minutes)*time.Minute + lastSearchFaultAfter
+// latestFaultStart returns the latest time at which a fault of a day of a search may begin.
+func (day *Day) latestFaultStart() time.Duration {
+	return time.Duration(day.Minutes)*time.Minute + lastSearchFaultAfter
 }
 
-// clampFaultStart returns the time closest to at when a fault may begin.
-func (d *Day) clampFaultStart(at time.Duration) time.Duration {
-	return min(max(at, firstSearchFault), d.latestFaultStart())
+// clampFaultStart returns the time closest to at at which a fault may begin.
+func (day *Day) clampFaultStart(at time.Duration) time.Duration {
+	return min(max(at, firstSearchFault), day.latestFaultStart())
 }
 
-// addFault adds a fault close to another one, so that they overlap.
-func (d *Day) addFault(rng *rand.Rand, f Fault) {
-	if len(d.Faults) > 0 {
-		f.At = d.clampFaultStart(d.Faults[rng.IntN(len(d.Faults))].At + randomShift(rng))
+// addFault adds a fault. If there are other faults, it begins close to one of them, so that they
+// overlap.
+func (day *Day) addFault(rng *rand.Rand, fault Fault) {
+	if len(day.Faults) > 0 {
+		fault.At = day.clampFaultStart(day.Faults[rng.IntN(len(day.Faults))].At + randomShift(rng))
 	}
-	d.Faults = append(slices.Clone(d.Faults), f)
-	d.sortFaults()
+	day.Faults = append(slices.Clone(day.Faults), fault)
+	day.sortFaults()
 }
 
-// randomShift draws by how much something is shifted; its logarithm is uniform, and its sign
-// random.
+// randomShift draws a positive or negative shift whose logarithm is uniformly distributed.
 func randomShift(rng *rand.Rand) time.Duration {
 	by := logUniform(rng, 50*time.Millisecond, maxSearchShift)
 	if rng.IntN(2) == 0 {
@@ -118,60 +120,60 @@
 	return by
 }
 
-// mutated returns a day that differs from d in one respect.
-func (d Day) mutated(rng *rand.Rand) Day {
-	d.Faults = slices.Clone(d.Faults)
-	if d.Cancels != nil {
-		c := *d.Cancels
-		d.Cancels = &c
+// mutated returns a copy of the day with one random change of its faults or mass cancellation.
+func (day Day) mutated(rng *rand.Rand) Day {
+	day.Faults = slices.Clone(day.Faults)
+	if day.Cancels != nil {
+		cancels := *day.Cancels
+		day.Cancels = &cancels
 	}
-	if len(d.Faults) == 0 {
-		d.addFault(rng, d.generateAnyFault(rng))
-		return d
+	if len(day.Faults) == 0 {
+		day.addFault(rng, day.generateAnyFault(rng))
+		return day
 	}
-	i, k := rng.IntN(len(d.Faults)), rng.IntN(len(d.Faults))
-	f := &d.Faults[i]
+	i, k := rng.IntN(len(day.Faults)), rng.IntN(len(day.Faults))
+	fault := &day.Faults[i]
 	switch rng.IntN(9) {
 	case 0, 1:
-		f.At = d.clampFaultStart(f.At + randomShift(rng))
+		fault.At = day.clampFaultStart(fault.At + randomShift(rng))
 	case 2:
-		f.At, d.Faults[k].At = d.Faults[k].At, f.At
+		fault.At, day.Faults[k].At = day.Faults[k].At, fault.At
 	case 3:
-		f.Duration = time.Duration(float64(f.Duration) * (0.5 + 1.5*rng.Float64()))
+		fault.Duration = time.Duration(float64(fault.Duration) * (0.5 + 1.5*rng.Float64()))
 	case 4:
-		at := f.At
-		*f = d.generateAnyFault(rng)
-		f.At = at
+		at := fault.At
+		*fault = day.generateAnyFault(rng)
+		fault.At = at
 	case 5:
-		f.Controller, f.Busiest, f.HoldMessages = rng.IntN(d.Controllers), rng.IntN(2) == 0, rng.IntN(2) == 0
+		fault.Controller, fault.Busiest, fault.HoldMessages = rng.IntN(day.Controllers), rng.IntN(2) == 0, rng.IntN(2) == 0
 	case 6:
-		if len(d.Faults) < maxSearchFaults {
-			d.addFault(rng, d.generateAnyFault(rng))
+		if len(day.Faults) < maxSearchFaults {
+			day.addFault(rng, day.generateAnyFault(rng))
 		}
 	case 7:
-		if len(d.Faults) > 1 {
-			d.Faults = slices.Delete(d.Faults, i, i+1)
+		if len(day.Faults) > 1 {
+			day.Faults = slices.Delete(day.Faults, i, i+1)
 		}
 	case 8:
-		if c := d.Cancels; c != nil {
-			c.At, c.Duration = d.clampFaultStart(c.At+randomShift(rng)), max(time.Second, c.Duration+randomShift(rng))
+		if cancels := day.Cancels; cancels != nil {
+			cancels.At, cancels.Duration = day.clampFaultStart(cancels.At+randomShift(rng)), max(time.Second, cancels.Duration+randomShift(rng))
 		}
 	}
-	d.sortFaults()
-	return d
+	day.sortFaults()
+	return day
 }
 
-// Save writes a day to a file that LoadDay reads.
-func (d Day) Save(file string) error {
-	b, err := json.MarshalIndent(d, "", "  ")
+// Save writes a day to a file that LoadDay can read.
+func (day Day) Save(file string) error {
+	b, err := json.MarshalIndent(day, "", "  ")
 	if err != nil {
-		return fmt.Errorf("day: %w", err)
+		return fmt.Errorf("encode day: %w", err)
 	}
 	return os.WriteFile(file, append(b, '\n'), 0o644)
 }
 
-// LoadDay reads a day that Save wrote. The day is drawn again from its parameters, with the faults
-// and cancellations of the file.
+// LoadDay reads a day that Save wrote. It generates the day from the parameters in the file, and
+// replaces its faults and mass cancellation by those in the file.
 func LoadDay(file string) (Day, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -185,10 +187,10 @@
 		return Day{}, fmt.Errorf("%s: %w", file, err)
 	}
 	if read.Machines < 1 || read.Teams < 1 || read.Controllers < 1 || read.Minutes < 1 || read.Jobs < 1 {
-		return Day{}, fmt.Errorf("%s: machines, teams, controllers, minutes and jobs are to be positive", file)
+		return Day{}, fmt.Errorf("%s: machines, teams, controllers, minutes and jobs must be positive", file)
 	}
-	d := GenerateDay(read.DayParams)
-	d.Faults, d.Cancels = read.Faults, read.Cancels
-	d.sortFaults()
-	return d, nil
+	day := GenerateDay(read.DayParams)
+	day.Faults, day.Cancels = read.Faults, read.Cancels
+	day.sortFaults()
+	return day, nil
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -9,385 +9,399 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// userJob is a job as its user knows it, with what the workers did of it.
+// userJob is a job with what its user knows of it and what the workers have done for it.
 type userJob struct {
 	spec model.JobSpec
-	// run is how long a task runs.
+	// run is the run time of a task.
 	run time.Duration
-	// alwaysFails: its tasks fail on every machine.
+	// alwaysFails makes the job's tasks fail on every machine.
 	alwaysFails bool
 	doneTasks   map[int]bool
 	// checkpoints is the run time that each task has left after its last checkpoint.
 	checkpoints map[int]time.Duration
-	// machines are the machines that have, or had, an attempt of each task, and firstStarts when
-	// each task first ran.
+	// machines are the machines that have or had an attempt of each task. firstStarts has the time
+	// of each task's first start.
 	machines    map[int][]*Worker
 	firstStarts map[int]time.Time
 
-	// accepted: the user was answered that the job is accepted.
+	// accepted says that the user got an answer that the job is accepted.
 	accepted bool
-	// lastState is the newest state that the user was answered, since lastStateAt.
+	// lastState is the newest state of the job that the user got as an answer. lastStateAt is the
+	// time of the answer that first had this state.
 	lastState       string
 	lastStateAt     time.Time
 	cancelRequested bool
-	// refusedStatus is the HTTP status with which the job was refused for good, or 0.
+	// refusedStatus is the HTTP status with which the job was permanently refused, or 0.
 	refusedStatus int
 	submitted     time.Time
 	finished      time.Time
-	// promised is the newest promised time from submission to completion, and promiseRevision its
-	// revision.
+	// promised is the newest promised time from submission to completion, and promiseRevision the
+	// revision of this promise.
 	promised        time.Duration
 	promiseRevision int
-	// promisedAtFirst: the first answer had a promised date.
+	// promisedAtFirst says that the first answer had a promised date.
 	promisedAtFirst bool
-	// cancelledAt is when the first answer that says that the job is cancelled left a controller:
-	// the user may know since then, even if that answer came late or never.
+	// cancelledAt is the time when a controller sent the first answer that says that the job is
+	// cancelled. From then on the rules for cancelled jobs apply, even if that answer arrives late
+	// or never.
 	cancelledAt time.Time
-	// answeredAt is when a query was last answered. silenceReported: that queries went unanswered
-	// for too long was reported.
+	// answeredAt is the time of the last answer about the job. silenceReported says that it was
+	// reported that the job's queries were unanswered for too long.
 	answeredAt      time.Time
 	silenceReported bool
-	// lastRoundAt is when a task was last started on a machine, and waitingSince since when one waits
-	// while there is free capacity for it. waitReported: that this was too long was reported.
+	// placedAt is the time when a machine last accepted an attempt of the job. waitingSince is the
+	// time since which a task waits while there is free capacity for it. waitReported says that it
+	// was reported that the wait was too long.
 	placedAt, waitingSince time.Time
 	waitReported           bool
 	// replicas are the replicas of a long-running job by index.
 	replicas map[int]*replica
-	// dependencies are the jobs that it depends on, and dependents those that depend on it.
+	// dependencies are the jobs that this job depends on. dependents are the jobs that depend on
+	// this job.
 	dependencies, dependents []*userJob
-	// tasksDoneAt is when the last of its tasks was done, and hooks are what waits for milestones.
+	// tasksDoneAt is the time when the last task was done. hooks are the functions to call at each
+	// milestone.
 	tasksDoneAt time.Time
 	hooks       map[milestone][]func()
-	// dependenciesAccepted: its user knew at the submission that all its dependencies were
-	// accepted.
+	// dependenciesAccepted says that the job has dependencies and that its user knew at the
+	// submission that all of them were accepted.
 	dependenciesAccepted bool
-	// invalid: its dependencies are invalid, and it must be refused for good.
+	// invalid says that the job's dependencies are invalid. The controllers must refuse the job
+	// permanently.
 	invalid bool
-	// orphanReported: that it was not cancelled with a dependency was reported.
+	// orphanReported says that it was reported that the job was not cancelled although one of its
+	// dependencies was.
 	orphanReported bool
 }
 
-// saveCheckpoint notes the run time that a task has left, unless an earlier checkpoint left less.
-func (j *userJob) saveCheckpoint(i int, remaining time.Duration) {
-	if old, ok := j.checkpoints[i]; !ok || remaining < old {
-		j.checkpoints[i] = remaining
+// saveCheckpoint records the run time that task i has left at a checkpoint, unless the recorded
+// time is shorter.
+func (job *userJob) saveCheckpoint(i int, remaining time.Duration) {
+	if old, ok := job.checkpoints[i]; !ok || remaining < old {
+		job.checkpoints[i] = remaining
 	}
 }
 
-// newUserJob makes a job that nobody has submitted yet.
+// newUserJob returns a job that has not been submitted.
 func newUserJob(spec model.JobSpec, run time.Duration) *userJob {
 	return &userJob{spec: spec, run: run, doneTasks: map[int]bool{}, checkpoints: map[int]time.Duration{}, machines: map[int][]*Worker{}, firstStarts: map[int]time.Time{}, replicas: map[int]*replica{},
 		hooks: map[milestone][]func(){}}
 }
 
-// Submit submits a job, trying until it is accepted or refused for good, and then queries it from
-// time to time.
-func (w *World) Submit(spec model.JobSpec, run time.Duration, alwaysFails bool) {
-	j := newUserJob(spec, run)
-	j.alwaysFails = alwaysFails
-	w.submitJob(j)
+// Submit submits a job, repeats the submission until the job is accepted or permanently refused,
+// and then queries an accepted job regularly.
+func (world *World) Submit(spec model.JobSpec, run time.Duration, alwaysFails bool) {
+	job := newUserJob(spec, run)
+	job.alwaysFails = alwaysFails
+	world.submitJob(job)
 }
 
-// submitJob is Submit of a job that exists already.
-func (w *World) submitJob(j *userJob) {
-	j.submitted = w.now
-	w.jobs[j.spec.ID] = j
-	w.linkDependencies(j)
-	w.trySubmit(j)
+// submitJob is Submit for a job that newUserJob returned.
+func (world *World) submitJob(job *userJob) {
+	job.submitted = world.now
+	world.jobs[job.spec.ID] = job
+	world.linkDependencies(job)
+	world.trySubmit(job)
 }
 
-// userRequest sends a request to a random controller. onReply gets the answer, or nil at the
-// deadline.
-func (w *World) userRequest(newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
-	w.userRequestTo(-1, newCommand, deadline, onReply)
+// userRequest sends a user's request to a random controller. onReply gets the answer, or nil if
+// none arrives by the deadline. newCommand makes the command from the request number.
+func (world *World) userRequest(newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
+	world.userRequestTo(-1, newCommand, deadline, onReply)
 }
 
-// userRequestTo is userRequest to the controller with index to, unless that is -1.
-func (w *World) userRequestTo(to int, newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
-	requestedAt := w.now
-	fn := func(r *message.UserReply) {
-		if r != nil && w.onAnswer != nil {
-			w.onAnswer(requestedAt, *r)
+// userRequestTo is userRequest with the index of the controller; -1 means a random one.
+func (world *World) userRequestTo(to int, newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
+	requestedAt := world.now
+	fn := func(reply *message.UserReply) {
+		if reply != nil && world.onAnswer != nil {
+			world.onAnswer(requestedAt, *reply)
 		}
-		if r != nil && r.Status == http.StatusServiceUnavailable {
-			w.RefusedRequests++
+		if reply != nil && reply.Status == http.StatusServiceUnavailable {
+			world.RefusedRequests++
 		}
-		onReply(r)
+		onReply(reply)
 	}
-	p := w.controllers[w.rng.IntN(len(w.controllers))]
+	process := world.controllers[world.rng.IntN(len(world.controllers))]
 	if to >= 0 {
-		p = w.controllers[to]
+		process = world.controllers[to]
 	}
 	finished := false
-	finish := func(r *message.UserReply) {
+	finish := func(reply *message.UserReply) {
 		if !finished {
 			finished = true
-			fn(r)
+			fn(reply)
 		}
 	}
-	w.schedule(deadline, func() { finish(nil) })
-	if !p.controller.Healthy(w.now) || !p.alive {
+	world.schedule(deadline, func() { finish(nil) })
+	if !process.controller.Healthy(world.now) || !process.alive {
 		return
 	}
-	w.sendMessage("user", p.name, func() {
-		p.request(newCommand, func(e message.Effect) {
-			r := e.(message.UserReply)
-			w.sendMessage(p.name, "user", func() { finish(&r) })
+	world.sendMessage("user", process.name, func() {
+		process.request(newCommand, func(effect message.Effect) {
+			reply := effect.(message.UserReply)
+			world.sendMessage(process.name, "user", func() { finish(&reply) })
 		})
 	})
 }
 
-// trySubmit is one attempt to submit a job.
-func (w *World) trySubmit(j *userJob) {
-	requestedAt := w.now
-	w.userRequest(func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *message.UserReply) {
+// trySubmit sends the submission of a job. It schedules another attempt if the answer is neither an
+// acceptance nor a permanent refusal.
+func (world *World) trySubmit(job *userJob) {
+	requestedAt := world.now
+	world.userRequest(func(reply uint64) message.Command { return message.SubmitJob{Reply: reply, Spec: job.spec} }, 5*time.Second, func(reply *message.UserReply) {
 		switch {
-		case r != nil && (r.Status == http.StatusCreated || r.Status == http.StatusOK):
-			if j.invalid {
-				w.violate("accepted_wrongly", "%s needs %v", j.spec.ID, j.spec.Dependencies)
+		case reply != nil && (reply.Status == http.StatusCreated || reply.Status == http.StatusOK):
+			if job.invalid {
+				world.violate("accepted_wrongly", "%s needs %v", job.spec.ID, job.spec.Dependencies)
 			}
-			w.checkAnswer(j, requestedAt, r)
-			w.schedule(w.jitter(5*time.Second), func() { w.poll(j) })
-		case r != nil && (r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity):
-			j.refusedStatus = r.Status
-			if j.accepted {
-				w.violate("forgotten", "%s answered %d", j.spec.ID, r.Status)
+			world.checkAnswer(job, requestedAt, reply)
+			world.schedule(world.jitter(5*time.Second), func() { world.poll(job) })
+		case reply != nil && (reply.Status == http.StatusBadRequest || reply.Status == http.StatusUnprocessableEntity):
+			job.refusedStatus = reply.Status
+			if job.accepted {
+				world.violate("forgotten", "%s answered %d", job.spec.ID, reply.Status)
 			}
-			if j.dependenciesAccepted && !j.invalid {
-				w.violate("refused_wrongly", "%s, which needs %v, answered %d: %s", j.spec.ID, j.spec.Dependencies, r.Status, r.Message)
+			if job.dependenciesAccepted && !job.invalid {
+				world.violate("refused_wrongly", "%s, which needs %v, answered %d: %s", job.spec.ID, job.spec.Dependencies, reply.Status, reply.Message)
 			}
 		default:
-			w.schedule(w.jitter(time.Second), func() { w.trySubmit(j) })
+			world.schedule(world.jitter(time.Second), func() { world.trySubmit(job) })
 		}
 	})
 }
 
-// poll queries a job, and again some time later.
-func (w *World) poll(j *userJob) {
-	requestedAt := w.now
-	w.userRequestTo(w.stickyController(j), func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *message.UserReply) {
-		if r != nil && (r.Status == http.StatusOK || r.Status == http.StatusNotFound) {
-			w.checkAnswer(j, requestedAt, r)
+// poll queries a job and schedules the next query.
+func (world *World) poll(job *userJob) {
+	requestedAt := world.now
+	world.userRequestTo(world.stickyController(job), func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: job.spec.ID} }, 2*time.Second, func(reply *message.UserReply) {
+		if reply != nil && (reply.Status == http.StatusOK || reply.Status == http.StatusNotFound) {
+			world.checkAnswer(job, requestedAt, reply)
 		}
-		w.checkPollsAnswered(j)
-		// Ended jobs are queried as well, as their state must not change any more.
-		pause := w.pollInterval(5 * time.Second)
-		if j.lastState == "done" || j.lastState == "cancelled" {
+		world.checkPollsAnswered(job)
+		// Jobs in a final state are queried as well, to check that the state does not change.
+		pause := world.pollInterval(5 * time.Second)
+		if job.lastState == "done" || job.lastState == "cancelled" {
 			pause = 30 * time.Second
-			if !w.faultsEndAt.IsZero() && w.now.After(w.faultsEndAt) {
+			if !world.faultsEndAt.IsZero() && world.now.After(world.faultsEndAt) {
 				pause = endedPollInterval
 			}
 		}
-		w.schedule(w.jitter(pause), func() { w.poll(j) })
+		world.schedule(world.jitter(pause), func() { world.poll(job) })
 	})
 }
 
-// Cancel cancels a job, trying until a controller confirms it.
-func (w *World) Cancel(id string) {
-	j, requestedAt := w.jobs[id], w.now
-	j.cancelRequested = true
-	w.userRequest(func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
-		if r == nil || r.Status != http.StatusOK {
-			w.schedule(w.jitter(time.Second), func() { w.Cancel(id) })
+// Cancel cancels a submitted job and repeats the request until a controller confirms the
+// cancellation.
+func (world *World) Cancel(id string) {
+	job, requestedAt := world.jobs[id], world.now
+	job.cancelRequested = true
+	world.userRequest(func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} }, 5*time.Second, func(reply *message.UserReply) {
+		if reply == nil || reply.Status != http.StatusOK {
+			world.schedule(world.jitter(time.Second), func() { world.Cancel(id) })
 			return
 		}
-		w.checkAnswer(j, requestedAt, r)
+		world.checkAnswer(job, requestedAt, reply)
 	})
 }
 
-// QueryUnknownJob queries a job that nobody submitted.
-func (w *World) QueryUnknownJob(id string) {
-	w.userRequest(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
-		if r != nil && r.Status == http.StatusOK {
-			w.violate("invented", "%s", id)
+// QueryUnknownJob queries an id of which no job was submitted and checks that no controller knows
+// such a job.
+func (world *World) QueryUnknownJob(id string) {
+	world.userRequest(func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} }, 2*time.Second, func(reply *message.UserReply) {
+		if reply != nil && reply.Status == http.StatusOK {
+			world.violate("invented", "%s", id)
 		}
 	})
 }
 
-// checkAnswer checks an answer to a request that was sent at requestedAt against what the user
-// knows.
-func (w *World) checkAnswer(j *userJob, requestedAt time.Time, r *message.UserReply) {
-	id := j.spec.ID
-	if r.Status == http.StatusNotFound {
-		if j.accepted {
-			w.violate("forgotten", "%s answered 404", id)
+// checkAnswer checks an answer about a job against what the user knows, and updates what the user
+// knows. requestedAt is the time when the user sent the request.
+func (world *World) checkAnswer(job *userJob, requestedAt time.Time, reply *message.UserReply) {
+	id := job.spec.ID
+	if reply.Status == http.StatusNotFound {
+		if job.accepted {
+			world.violate("forgotten", "%s answered 404", id)
 		}
 		return
 	}
-	j.promisedAtFirst = j.promisedAtFirst || !j.accepted && r.PromiseRevision > 0
-	w.checkPollsAnswered(j)
-	w.checkOrphan(j, r)
-	isNew := !j.accepted || isFinal(r.State) && j.lastState != r.State
-	j.accepted, j.answeredAt = true, w.now
-	if r.PromiseRevision > 0 {
-		// The answer to a cancellation may overtake one to a query.
-		if r.PromiseRevision < j.promiseRevision && !j.cancelRequested || r.PromiseRevision == j.promiseRevision && r.PromisedAfter != j.promised {
-			w.violate("older_date", "%s was promised %v as revision %d, then %v as %d", id, j.promised, j.promiseRevision, r.PromisedAfter, r.PromiseRevision)
+	job.promisedAtFirst = job.promisedAtFirst || !job.accepted && reply.PromiseRevision > 0
+	world.checkPollsAnswered(job)
+	world.checkOrphan(job, reply)
+	isNew := !job.accepted || isFinal(reply.State) && job.lastState != reply.State
+	job.accepted, job.answeredAt = true, world.now
+	if reply.PromiseRevision > 0 {
+		// The answer to a cancellation may overtake the answer to a query, so revisions are
+		// compared only before the user cancels.
+		if reply.PromiseRevision < job.promiseRevision && !job.cancelRequested || reply.PromiseRevision == job.promiseRevision && reply.PromisedAfter != job.promised {
+			world.violate("older_date", "%s was promised %v as revision %d, then %v as %d", id, job.promised, job.promiseRevision, reply.PromisedAfter, reply.PromiseRevision)
 		}
-		if r.PromiseRevision >= j.promiseRevision {
-			j.promiseRevision, j.promised = r.PromiseRevision, r.PromisedAfter
+		if reply.PromiseRevision >= job.promiseRevision {
+			job.promiseRevision, job.promised = reply.PromiseRevision, reply.PromisedAfter
 		}
 	}
 	switch {
-	case (j.lastState == "done" || j.lastState == "cancelled") && r.State != j.lastState:
-		// A request that was sent before the user knew of the end may be answered after it by
-		// another controller: users send several requests at a time.
-		if !requestedAt.Before(j.lastStateAt) {
-			w.violate("went_back", "%s was %s, is called %s", id, j.lastState, r.State)
+	case (job.lastState == "done" || job.lastState == "cancelled") && reply.State != job.lastState:
+		// Users send several requests at a time. Another controller may answer an older state if
+		// the request was sent before the user knew the final state.
+		if !requestedAt.Before(job.lastStateAt) {
+			world.violate("went_back", "%s was %s, is called %s", id, job.lastState, reply.State)
 		}
 		return
-	case r.State == "done" && len(j.doneTasks) < j.spec.Tasks:
-		w.violate("not_done", "%s with %d of %d", id, len(j.doneTasks), j.spec.Tasks)
-	case r.State == "cancelled" && !j.isCancelled():
-		w.violate("went_back", "%s cancelled by nobody", id)
+	case reply.State == "done" && len(job.doneTasks) < job.spec.Tasks:
+		world.violate("not_done", "%s with %d of %d", id, len(job.doneTasks), job.spec.Tasks)
+	case reply.State == "cancelled" && !job.isCancelled():
+		world.violate("went_back", "%s cancelled by nobody", id)
 	}
-	if j.lastState != r.State {
-		j.lastState, j.lastStateAt = r.State, w.now
-		if r.State == "done" || r.State == "cancelled" {
-			j.finished = w.now
+	if job.lastState != reply.State {
+		job.lastState, job.lastStateAt = reply.State, world.now
+		if reply.State == "done" || reply.State == "cancelled" {
+			job.finished = world.now
 		}
 	}
 	if isNew {
-		w.readConcurrently(j)
+		world.readConcurrently(job)
 	}
-	j.runHooks()
+	job.runHooks()
 }
 
-// checkStart checks the rules for the start of a task on m.
-func (w *World) checkStart(m *Worker, t *workerTask) {
-	w.Starts++
-	j := t.job
-	s := &j.spec
-	name := taskName(s.ID, t.index)
-	if j.firstStarts[t.index].IsZero() {
-		j.firstStarts[t.index] = w.now
+// checkStart checks the rules for a task that starts to run on machine, and counts the start.
+func (world *World) checkStart(machine *Worker, task *workerTask) {
+	world.Starts++
+	job := task.job
+	spec := &job.spec
+	name := taskName(spec.ID, task.index)
+	if job.firstStarts[task.index].IsZero() {
+		job.firstStarts[task.index] = world.now
 	}
-	w.replicaUp(t)
-	w.checkDependencies(j, name)
+	world.replicaUp(task)
+	world.checkDependencies(job, name)
 	zones := map[string]int{}
-	w.eachPlacedTask(j, func(i int, o *Worker, x *workerTask) {
-		if x == t {
+	world.eachPlacedTask(job, func(i int, otherMachine *Worker, otherTask *workerTask) {
+		if otherTask == task {
 			return
 		}
-		if x.index == t.index {
-			w.violate("ran_twice", "%s on %s and %s", name, m.ID, o.ID)
+		if otherTask.index == task.index {
+			world.violate("ran_twice", "%s on %s and %s", name, machine.ID, otherMachine.ID)
 		}
-		zones[o.Zone]++
-	}, t.index)
-	team := w.team(s.Team)
-	if u := w.teamUsage[s.Team]; team.QuotaLimit.CPU > 0 && u.CPU > team.QuotaLimit.CPU+1e-6 || team.QuotaLimit.GPU > 0 && u.GPU > team.QuotaLimit.GPU+1e-6 {
-		w.violate("quota", "%s uses %v", s.Team, u)
+		zones[otherMachine.Zone]++
+	}, task.index)
+	team := world.team(spec.Team)
+	if usage := world.teamUsage[spec.Team]; team.QuotaLimit.CPU > 0 && usage.CPU > team.QuotaLimit.CPU+1e-6 || team.QuotaLimit.GPU > 0 && usage.GPU > team.QuotaLimit.GPU+1e-6 {
+		world.violate("quota", "%s uses %v", spec.Team, usage)
 	}
-	if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, m.MachineType) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot {
-		w.violate("wrong_place", "%s on %s", name, m.ID)
+	if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.MachineType) || spec.Zone != "" && spec.Zone != machine.Zone || machine.Spot && !spec.AllowSpot {
+		world.violate("wrong_place", "%s on %s", name, machine.ID)
 	}
-	if s.SameZone && len(zones) > 0 && zones[m.Zone] == 0 {
-		w.violate("wrong_place", "%s not with the others", name)
+	if spec.SameZone && len(zones) > 0 && zones[machine.Zone] == 0 {
+		world.violate("wrong_place", "%s not with the others", name)
 	}
-	if s.SpreadZones && zones[m.Zone]+1 > (s.Tasks+1)/2 {
-		w.violate("wrong_place", "%s too many in %s", name, m.Zone)
+	if spec.SpreadZones && zones[machine.Zone]+1 > (spec.Tasks+1)/2 {
+		world.violate("wrong_place", "%s too many in %s", name, machine.Zone)
 	}
-	if !j.cancelledAt.IsZero() {
-		w.StartsAfterCancel++
-		w.recordMargin(RuleCancelled, w.cancelWithin-w.now.Sub(j.cancelledAt), m.ID+" "+name)
+	if !job.cancelledAt.IsZero() {
+		world.StartsAfterCancel++
+		world.recordMargin(RuleCancelled, world.cancelWithin-world.now.Sub(job.cancelledAt), machine.ID+" "+name)
 	}
-	if w.isCancelOverdue(j) {
-		w.violate("ran_cancelled", "%s started", name)
+	if world.isCancelOverdue(job) {
+		world.violate("ran_cancelled", "%s started", name)
 	}
 }
 
-// noteCancelConfirmed notes that an answer leaves a controller, and since when one says that the
-// job is cancelled.
-func (w *World) noteCancelConfirmed(r message.UserReply) {
-	j := w.jobs[r.ID]
-	if j == nil {
+// noteCancelConfirmed handles an answer that a controller sends to a user. If it is the first one
+// that says that the job is cancelled, noteCancelConfirmed sets cancelledAt.
+func (world *World) noteCancelConfirmed(reply message.UserReply) {
+	job := world.jobs[reply.ID]
+	if job == nil {
 		return
 	}
-	w.checkOrphan(j, &r)
-	if r.Status == http.StatusOK && r.State == "cancelled" && j.cancelledAt.IsZero() {
-		j.cancelledAt = w.now
-		w.checkDependents(j)
+	world.checkOrphan(job, &reply)
+	if reply.Status == http.StatusOK && reply.State == "cancelled" && job.cancelledAt.IsZero() {
+		job.cancelledAt = world.now
+		world.checkDependents(job)
 	}
 }
 
-// isCancelOverdue reports whether a job's tasks must be gone by now.
-func (w *World) isCancelOverdue(j *userJob) bool {
-	since := j.cancelledSince()
-	return !since.IsZero() && w.now.Sub(since) > w.cancelWithin
+// isCancelOverdue reports whether a job has been cancelled for so long that all its tasks must have
+// ended.
+func (world *World) isCancelOverdue(job *userJob) bool {
+	since := job.cancelledSince()
+	return !since.IsZero() && world.now.Sub(since) > world.cancelWithin
 }
 
-// eachPlacedTask calls fn with the attempts on machines of the task with an index, or of all tasks
-// if the job limits the zones that they may share.
-func (w *World) eachPlacedTask(j *userJob, fn func(int, *Worker, *workerTask), index int) {
+// eachPlacedTask calls fn with the attempts of one task that take resources of machines. If the job
+// restricts the zones of its tasks relative to each other, eachPlacedTask calls fn for all tasks of
+// the job. eachPlacedTask also removes machines without an attempt of the task from job.machines.
+func (world *World) eachPlacedTask(job *userJob, fn func(int, *Worker, *workerTask), index int) {
 	scanTask := func(i int) {
-		j.machines[i] = slices.DeleteFunc(j.machines[i], func(m *Worker) bool {
-			there := false
-			for _, x := range m.tasks {
-				if x.job == j && x.index == i {
-					there = true
-					if x.onMachine() {
-						fn(i, m, x)
+		job.machines[i] = slices.DeleteFunc(job.machines[i], func(machine *Worker) bool {
+			found := false
+			for _, other := range machine.tasks {
+				if other.job == job && other.index == i {
+					found = true
+					if other.onMachine() {
+						fn(i, machine, other)
 					}
 				}
 			}
-			return !there
+			return !found
 		})
 	}
-	if !j.spec.SameZone && !j.spec.SpreadZones {
+	if !job.spec.SameZone && !job.spec.SpreadZones {
 		scanTask(index)
 		return
 	}
-	for i := range j.machines {
+	for i := range job.machines {
 		scanTask(i)
 	}
 }
 
-// team returns a team by name, or the zero Team.
-func (w *World) team(name string) model.Team {
-	for _, t := range w.settings.Teams {
-		if t.Name == name {
-			return t
+// team returns the team with a name, or the zero Team if there is none.
+func (world *World) team(name string) model.Team {
+	for _, team := range world.settings.Teams {
+		if team.Name == name {
+			return team
 		}
 	}
 	return model.Team{}
 }
 
-// checkReplySize checks that the answer to a heartbeat is not too large.
-func (w *World) checkReplySize(a message.HeartbeatReply) {
+// checkReplySize checks that the answer to a heartbeat does not exceed maxBodyBytes.
+func (world *World) checkReplySize(reply message.HeartbeatReply) {
 	size := 0
-	for _, o := range a.Commands {
-		size += len(o.Job) + commandBytes
+	for _, command := range reply.Commands {
+		size += len(command.Job) + commandBytes
 	}
 	if size > maxBodyBytes {
-		w.violate("malformed", "an answer to a worker of %d bytes", size)
+		world.violate("malformed", "an answer to a worker of %d bytes", size)
 	}
 }
 
 const (
-	// maxBodyBytes bounds bodies to workers, and commandBytes is what a command takes as JSONSize
-	// beside its job's name.
+	// maxBodyBytes is the maximum size of a body that is sent to a worker. commandBytes is the size
+	// of a command in JSON without the job's name.
 	maxBodyBytes = 64 << 10
 	commandBytes = len(`{"verb": "start", "piece": "/100000", "try": 1000, "wind_down_s": 10.0}, `)
 )
 
-// checkCancellations checks that the tasks of cancelled jobs are gone in time on all machines, also
-// on those that are unheard, hang or are unreachable until their leases end. A task whose image was
-// fetched while its machine hung counts as running.
-func (w *World) checkCancellations() {
-	for _, m := range w.fleet {
-		for _, t := range m.tasks {
-			fetched := t.status == model.Fetching && !t.imageReadyAt.After(w.now)
-			if !t.onMachine() && !fetched || t.violationReported {
+// checkCancellations checks on all machines that the tasks of cancelled jobs end in time. This
+// includes machines that hang, can't be reached or reach no controller, whose tasks run until the
+// worker lease expires. A task whose image was fetched while its machine hung counts as running.
+func (world *World) checkCancellations() {
+	for _, machine := range world.fleet {
+		for _, task := range machine.tasks {
+			fetched := task.status == model.Fetching && !task.imageReadyAt.After(world.now)
+			if !task.onMachine() && !fetched || task.violationReported {
 				continue
 			}
-			since := t.job.cancelledSince()
+			since := task.job.cancelledSince()
 			if since.IsZero() {
 				continue
 			}
-			w.recordMargin(RuleCancelled, w.cancelWithin-w.now.Sub(since), m.ID+" "+t.job.spec.ID)
-			if w.isCancelOverdue(t.job) {
-				t.violationReported = true
-				w.violate("ran_cancelled", "%s on %s", taskName(t.job.spec.ID, t.index), m.ID)
+			world.recordMargin(RuleCancelled, world.cancelWithin-world.now.Sub(since), machine.ID+" "+task.job.spec.ID)
+			if world.isCancelOverdue(task.job) {
+				task.violationReported = true
+				world.violate("ran_cancelled", "%s on %s", taskName(task.job.spec.ID, task.index), machine.ID)
 			}
 		}
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -14,125 +14,140 @@
 	"golang.org/x/time/rate"
 )
 
-// tickInterval is the step in which workers, leases and checks advance.
+// tickInterval is the virtual time between two updates of the workers and leases, each followed by
+// the checks.
 const tickInterval = 100 * time.Millisecond
 
-// World is a simulation in virtual time of controllers, the state service, the cloud, workers and
-// users, with faults. Everything in it runs on the goroutine that calls Run. The same seed gives
-// the same run.
+// World simulates controllers, the state service, the cloud, workers and users in virtual time,
+// with faults. All its code runs on the goroutine that calls Run. Two worlds with the same seed and
+// the same calls behave the same.
 type World struct {
 	// now is the virtual time.
 	now       time.Time
 	startedAt time.Time
 	rng       *rand.Rand
-	// settings are the controllers' settings, before each gets its own name and peers.
+	// settings are the settings that all controllers share. Each controller gets its own name and
+	// peers in addition.
 	settings controller.Settings
-	// cancelWithin is how soon the tasks of a cancelled job must be gone.
+	// cancelWithin is the time within which the tasks of a cancelled job must have ended.
 	cancelWithin time.Duration
-	// events are the scheduled functions. Those of the same time run in the order of seq.
+	// events are the scheduled functions. Events of the same time run in the order of their
+	// sequence numbers; seq is the last number given.
 	events events
 	seq    uint64
 
 	controllers []*controllerProcess
 	state       *StateService
-	// machines are all machines that ever were, by id.
+	// machines are all machines ever rented, by id.
 	machines map[string]*Worker
-	// fleet has the machines that are not gone for good, in the order of creation.
+	// fleet has the machines that are neither released nor reclaimed, in the order of creation.
 	fleet []*Worker
-	// teamUsage is what each team's running tasks take.
+	// teamUsage is the resources that each team's running tasks take.
 	teamUsage    map[string]model.Resources
 	cloudLimiter *rate.Limiter
 	machineTypes map[string]model.MachineType
-	// cloudCapacity is how many machines are left to rent, by capacityKey.
+	// cloudCapacity is the number of machines that can still be rented, by capacityKey.
 	cloudCapacity map[string]int
-	// rentals has the machines of each rental by its idempotency key.
+	// rentals has the ids of each rental's machines, by idempotency key.
 	rentals map[string][]string
 	jobs    map[string]*userJob
 
-	// partitions has the broken links by "a|b", and oneWayPartitions counts those that are broken
-	// in one direction by "a>b"; see links.go.
+	// partitions has the links that are broken in both directions, by "a|b". oneWayPartitions
+	// counts the partitions that drop messages from a to b, by "a>b". See links.go.
 	partitions       map[string]*partition
 	oneWayPartitions map[string]int
 	stateOutage      bool
 	cloudOutage      bool
-	// lossRate is how often a message is lost or delayed for long.
+	// lossRate is the probability that a message is lost or delayed by randomDelay.
 	lossRate float64
-	// duplicateRate is how often a transaction, a heartbeat or a command is carried out once more,
-	// up to minutes later. Neither answer to a duplicated command arrives: a client that got one
-	// would not send again.
+	// duplicateRate is the probability that a transaction, a heartbeat or a command is carried out
+	// a second time, up to maxRandomDelay later. The sender of a duplicated command gets no answer
+	// to either copy, because a client that got an answer would not send the command again.
 	duplicateRate float64
-	// Violations lists broken rules, at most maxViolations.
+	// Violations lists the rule violations that were found, at most maxViolations.
 	Violations []string
-	// Starts counts starts of tasks, and StartsAfterCancel those after an answer left a controller
-	// that says that the job is cancelled.
+	// Starts counts task starts. StartsAfterCancel counts task starts after a controller sent an
+	// answer that says that the job is cancelled.
 	Starts, StartsAfterCancel int
-	// heartbeatCopyRate is the part of the heartbeats that arrive once more, up to
-	// heartbeatCopyMaxDelay later, until heartbeatCopiesUntil.
+	// heartbeatCopyRate is the fraction of the heartbeats that arrive a second time, up to
+	// heartbeatCopyMaxDelay later. The fault lasts until heartbeatCopiesUntil.
 	heartbeatCopyRate     float64
 	heartbeatCopyMaxDelay time.Duration
 	heartbeatCopiesUntil  time.Time
-	// stateSlowUntil: until then the state service is stateSlowFactor times slower.
+	// stateSlowUntil is the time until which messages from and to the state service take
+	// stateSlowFactor times as long.
 	stateSlowUntil  time.Time
 	stateSlowFactor float64
-	// lateWriteRate is the part of the transactions that get no answer and are carried out late,
-	// until lateWritesUntil.
+	// lateWriteRate is the fraction of the transactions that get no answer and are carried out
+	// late. The fault lasts until lateWritesUntil.
 	lateWriteRate   float64
 	lateWritesUntil time.Time
-	// stateOutageUntil is when the last outage of the state service that has begun is over.
+	// stateOutageUntil is the latest end of the outages of the state service that have begun.
 	stateOutageUntil time.Time
-	// stickyUsers: some users keep to one controller once all faults are over.
+	// stickyUsers makes some users send all queries to one controller once all faults are over.
 	stickyUsers bool
 	// RefusedRequests counts users' requests that were answered 503.
 	RefusedRequests int
-	// LostToLease counts tasks that workers killed at the end of their lease.
+	// LostToLease counts tasks that workers killed because their worker lease expired.
 	LostToLease int
-	// CloudCalls counts requests to the cloud: those that were done, and those refused for the
-	// rate.
+	// CloudCalls counts requests to the cloud: those that were executed, and those that were
+	// refused because of the rate limit.
 	CloudCalls struct{ Done, RefusedRequests int }
-	// lastID is the last number in the id of a job or machine.
+	// lastID is the number in the id of the job or machine that was created last.
 	lastID int
-	// machineIDs has the ids of all machines that ever were, in the order of creation.
+	// machineIDs has the ids of all machines ever rented, in the order of creation, which is also
+	// their lexical order.
 	machineIDs []string
-	// stepTime is the real time that the controllers' steps took, for benchmarks.
+	// stepTime is the real time that the controllers' steps took in total. Benchmarks read it.
 	stepTime time.Duration
 	// logs are the controllers' log lines.
 	logs []string
-	// corruptEffect breaks an invariant on purpose, to show that a check notices.
+	// corruptEffect, if not nil, replaces each effect before it is sent; an effect that it replaces
+	// with nil is dropped. Tests use it to break an invariant and to show that a check reports the
+	// violation.
 	corruptEffect func(message.Effect) message.Effect
-	// leaseOverride, if not 0, is a wrong worker lease that the controllers are configured with.
+	// leaseOverride, if not 0, is the worker lease in the controllers' settings, which then differs
+	// from the lease of the workers.
 	leaseOverride time.Duration
 	// heartbeatSender sends a worker's heartbeat. onRented is called with each new machine, and
-	// onGone with each that is gone for good.
+	// onGone with each machine that was released or reclaimed.
 	heartbeatSender func(*Worker)
 	onRented        func(*Worker)
 	onGone          func(*Worker)
 	// jobSource, if not nil, is where workers fetch the specification of a job that is not in jobs.
 	jobSource func(id string) (model.JobSpec, time.Duration, bool)
-	// pauseCondition picks the effect before which a process is paused for pauseDuration.
+	// pauseCondition, if not nil, reports whether a process is paused for pauseDuration before it
+	// sends an effect. It applies once.
 	pauseCondition func(*controllerProcess, message.Effect) bool
 	pauseDuration  time.Duration
-	// crashCondition picks the effect at which a process crashes.
+	// crashCondition, if not nil, crashes the process and returns true if the process is to crash
+	// at an effect. It applies once.
 	crashCondition func(*controllerProcess, message.Effect) bool
-	// disturbances is set on days with unlisted or overlapping faults.
+	// disturbances has the state of the unlisted faults. It is nil on days without unlisted or
+	// overlapping faults.
 	disturbances *disturbances
 	extraFaultState
-	// margins is the least time that was left to each timed rule.
+	// margins has the smallest margin that was seen for each timed rule.
 	margins map[string]Margin
-	// nextWaitCheck is when waiting jobs are checked next.
+	// nextWaitCheck is the time of the next check for jobs that wait beside free capacity.
 	nextWaitCheck time.Time
-	// rankingCheck checks the order of work if it is not nil. adjustSettings changes the settings
-	// of a controller at its start.
+	// rankingCheck, if not nil, checks that controllers follow the ranking. adjustSettings, if not
+	// nil, changes the settings of a controller with the given index at its start.
 	rankingCheck   *rankingChecker
 	adjustSettings func(i int, set *controller.Settings)
-	// onAnswer is called with every answer that reaches a user, and when he sent the request.
+	// onAnswer, if not nil, is called with every answer that reaches a user and the time when the
+	// user sent the request.
 	onAnswer func(requestedAt time.Time, r message.UserReply)
-	// faultsEndAt, if set, is when the last fault is over.
+	// faultsEndAt is the end of the last fault. While it is zero, the rules that hold only after
+	// all faults are not checked.
 	faultsEndAt time.Time
-	// trace has words, separated by "|"; debug lines that contain one are logged as well.
+	// trace is a list of words separated by "|". Debug lines that contain one of the words are
+	// added to logs.
 	trace string
 }
 
-// maxViolations bounds the list of violations; the first ones tell enough.
+// maxViolations bounds the number of recorded violations. The first ones are enough to find a
+// fault.
 const maxViolations = 20
 
 // event is a scheduled function.
@@ -142,137 +157,147 @@
 	run func()
 }
 
-// events is a heap of events.
+// events is a heap of events, ordered by time and then by sequence number.
 type events []event
 
-func (e events) Len() int { return len(e) }
+// Len returns the number of events.
+func (queue events) Len() int { return len(queue) }
 
-func (e events) Less(a, b int) bool {
-	return e[a].at.Before(e[b].at) || e[a].at.Equal(e[b].at) && e[a].seq < e[b].seq
+// Less reports whether event a runs before event b.
+func (queue events) Less(a, b int) bool {
+	return queue[a].at.Before(queue[b].at) || queue[a].at.Equal(queue[b].at) && queue[a].seq < queue[b].seq
 }
 
-func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
+// Swap swaps two events.
+func (queue events) Swap(a, b int) { queue[a], queue[b] = queue[b], queue[a] }
 
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+// Push appends an event; only package heap calls it.
+func (queue *events) Push(x any) { *queue = append(*queue, x.(event)) }
 
-func (e *events) Pop() any {
-	o := *e
-	x := o[len(o)-1]
-	*e = o[:len(o)-1]
+// Pop removes the last event and returns it; only package heap calls it.
+func (queue *events) Pop() any {
+	other := *queue
+	x := other[len(other)-1]
+	*queue = other[:len(other)-1]
 	return x
 }
 
-// NewWorld makes a world in which controllers many controllers start at once. cancel is how soon
-// the tasks of a cancelled job must be gone, and capacity how many machines there are by
-// capacityKey, such as box/a/true.
-func NewWorld(seed uint64, controllers int, settings controller.Settings, cancel time.Duration, types []model.MachineType, capacity map[string]int) *World {
-	w := &World{
-		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancel,
+// NewWorld returns a world and starts the given number of controllers in it. cancelWithin is the
+// time within which the tasks of a cancelled job must have ended. capacity is the number of
+// machines that the cloud has, by capacityKey, such as box/a/true. The world keeps and changes
+// capacity.
+func NewWorld(seed uint64, controllers int, settings controller.Settings, cancelWithin time.Duration, types []model.MachineType, capacity map[string]int) *World {
+	world := &World{
+		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancelWithin,
 		state: NewStateService(), machines: map[string]*Worker{}, machineTypes: map[string]model.MachineType{},
 		cloudCapacity: capacity, rentals: map[string][]string{}, jobs: map[string]*userJob{}, partitions: map[string]*partition{}, oneWayPartitions: map[string]int{},
 		teamUsage: map[string]model.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
 	}
 	if settings.CloudRequestsPerSecond > 0 {
-		// The cloud takes bursts of two seconds' worth.
-		w.cloudLimiter = rate.NewLimiter(rate.Limit(settings.CloudRequestsPerSecond), max(1, int(2*settings.CloudRequestsPerSecond)))
+		// The cloud accepts bursts of two seconds' worth of requests.
+		world.cloudLimiter = rate.NewLimiter(rate.Limit(settings.CloudRequestsPerSecond), max(1, int(2*settings.CloudRequestsPerSecond)))
 	}
-	w.startedAt = w.now
-	w.state.SetLimits(settings)
-	w.heartbeatSender, w.onRented, w.onGone = w.sendHeartbeat, func(*Worker) {}, func(*Worker) {}
-	for _, t := range types {
-		w.machineTypes[t.Name] = t
+	world.startedAt = world.now
+	world.state.SetLimits(settings)
+	world.heartbeatSender, world.onRented, world.onGone = world.sendHeartbeat, func(*Worker) {}, func(*Worker) {}
+	for _, machineType := range types {
+		world.machineTypes[machineType.Name] = machineType
 	}
 	for i := range controllers {
-		w.controllers = append(w.controllers, &controllerProcess{world: w, index: i, name: fmt.Sprintf("node-%d", i)})
+		world.controllers = append(world.controllers, &controllerProcess{world: world, index: i, name: fmt.Sprintf("node-%d", i)})
 	}
-	for _, p := range w.controllers {
-		p.start()
+	for _, process := range world.controllers {
+		process.start()
 	}
-	w.schedule(tickInterval, w.onTick)
-	return w
+	world.schedule(tickInterval, world.onTick)
+	return world
 }
 
-// schedule calls fn after delay.
-func (w *World) schedule(delay time.Duration, fn func()) {
-	w.seq++
-	heap.Push(&w.events, event{w.now.Add(delay), w.seq, fn})
+// schedule makes Run call fn after delay.
+func (world *World) schedule(delay time.Duration, fn func()) {
+	world.seq++
+	heap.Push(&world.events, event{world.now.Add(delay), world.seq, fn})
 }
 
-// jitter draws a duration from 75% to 125% of d.
-func (w *World) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + w.rng.Float64()/2))
+// jitter draws a duration between 75% and 125% of the given one.
+func (world *World) jitter(duration time.Duration) time.Duration {
+	return time.Duration(float64(duration) * (0.75 + world.rng.Float64()/2))
 }
 
-// Run advances the virtual time by d.
-func (w *World) Run(d time.Duration) {
-	end := w.now.Add(d)
-	for len(w.events) > 0 && !w.events[0].at.After(end) {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.run()
+// Run advances the virtual time by the given duration and runs the events that are due meanwhile.
+func (world *World) Run(duration time.Duration) {
+	end := world.now.Add(duration)
+	for len(world.events) > 0 && !world.events[0].at.After(end) {
+		next := heap.Pop(&world.events).(event)
+		world.now = next.at
+		next.run()
 	}
-	w.now = end
+	world.now = end
 }
 
-// violate records a broken rule.
-func (w *World) violate(rule, format string, args ...any) {
-	if len(w.Violations) >= maxViolations {
+// violate records a violation of a rule, unless maxViolations are recorded already.
+func (world *World) violate(rule, format string, args ...any) {
+	if len(world.Violations) >= maxViolations {
 		return
 	}
-	w.Violations = append(w.Violations, fmt.Sprintf("%s at %.1fs: %s", rule, w.now.Sub(w.startedAt).Seconds(), fmt.Sprintf(format, args...)))
+	world.Violations = append(world.Violations, fmt.Sprintf("%s at %.1fs: %s", rule, world.now.Sub(world.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// onTick advances what goes on without events, and checks the rules.
-func (w *World) onTick() {
-	if !w.stateOutage {
-		w.state.Expire(w.now)
+// onTick updates leases and machines, and checks the rules that depend on the passing of time. It
+// runs every tickInterval.
+func (world *World) onTick() {
+	if !world.stateOutage {
+		world.state.Expire(world.now)
 	}
-	w.advanceMachines(tickInterval)
-	w.checkCancellations()
-	w.replayHeldHeartbeats()
-	w.checkWaiting()
-	w.schedule(tickInterval, w.onTick)
+	world.advanceMachines(tickInterval)
+	world.checkCancellations()
+	world.replayHeldHeartbeats()
+	world.checkWaiting()
+	world.schedule(tickInterval, world.onTick)
 }
 
-// advanceMachines moves all machines on by step, and drops those that are gone for good.
-func (w *World) advanceMachines(step time.Duration) {
-	keep := w.fleet[:0]
-	for _, m := range w.fleet {
-		if !m.reclaimAt.IsZero() && !w.now.Before(m.reclaimAt) {
-			w.killMachine(m)
-			m.reclaimed = true
+// advanceMachines advances all machines by step, and removes machines that were released or
+// reclaimed from the fleet.
+func (world *World) advanceMachines(step time.Duration) {
+	keep := world.fleet[:0]
+	for _, machine := range world.fleet {
+		if !machine.reclaimAt.IsZero() && !world.now.Before(machine.reclaimAt) {
+			world.killMachine(machine)
+			machine.reclaimed = true
 		}
-		w.advanceMachine(m, step)
-		if m.released || m.reclaimed {
-			w.onGone(m)
+		world.advanceMachine(machine, step)
+		if machine.released || machine.reclaimed {
+			world.onGone(machine)
 			continue
 		}
-		keep = append(keep, m)
+		keep = append(keep, machine)
 	}
-	w.fleet = keep
+	world.fleet = keep
 }
 
-// controllerIndex returns the index of a controller by name, or -1.
-func (w *World) controllerIndex(name string) int {
-	return slices.IndexFunc(w.controllers, func(p *controllerProcess) bool { return p.name == name })
+// controllerIndex returns the index of the controller with a name, or -1 if there is none.
+func (world *World) controllerIndex(name string) int {
+	return slices.IndexFunc(world.controllers, func(process *controllerProcess) bool { return process.name == name })
 }
 
-// sendMessage delivers a message from one end to another, subject to the links: late, lost or held.
-// fn runs at the receiver.
-func (w *World) sendMessage(from, to string, fn func()) {
+// sendMessage delivers a message by calling fn after a random delay. Depending on the faults of the
+// link and the receiver, the message is late, lost or held until the fault ends. A machine is named
+// by its id, a controller by its name; the other ends are state, cloud and user.
+func (world *World) sendMessage(from, to string, fn func()) {
 	process := 0
-	if m := w.machines[to]; m != nil {
-		process = m.process
+	if machine := world.machines[to]; machine != nil {
+		process = machine.process
 	}
 	deliver := func() {
-		// A hanging machine takes it when it goes on.
-		if m := w.machines[to]; m != nil {
+		// A hanging machine receives the message when it resumes, unless its worker was restarted
+		// meanwhile.
+		if machine := world.machines[to]; machine != nil {
 			switch {
-			case m.dead || m.released || m.process != process:
+			case machine.dead || machine.released || machine.process != process:
 				return
-			case w.now.Before(m.hungUntil):
-				w.schedule(m.hungUntil.Sub(w.now)+time.Millisecond, func() {
-					if !m.dead && !m.released && m.process == process {
+			case world.now.Before(machine.hungUntil):
+				world.schedule(machine.hungUntil.Sub(world.now)+time.Millisecond, func() {
+					if !machine.dead && !machine.released && machine.process == process {
 						fn()
 					}
 				})
@@ -281,77 +306,80 @@
 		}
 		fn()
 	}
-	if w.isPartitionedOneWay(from, to) || w.holdIfUnreachable(w.machines[to], deliver) {
+	if world.isPartitionedOneWay(from, to) || world.holdIfUnreachable(world.machines[to], deliver) {
 		return
 	}
-	if c := w.partitionBetween(from, to); c != nil {
-		if c.holdMessages {
-			c.heldMessages = append(c.heldMessages, deliver)
+	if link := world.partitionBetween(from, to); link != nil {
+		if link.holdMessages {
+			link.heldMessages = append(link.heldMessages, deliver)
 		}
 		return
 	}
-	d := time.Duration(1+w.rng.IntN(6)) * time.Millisecond
-	if w.now.Before(w.stateSlowUntil) && (from == "state" || to == "state") {
-		d = time.Duration(float64(d) * w.stateSlowFactor)
+	delay := time.Duration(1+world.rng.IntN(6)) * time.Millisecond
+	if world.now.Before(world.stateSlowUntil) && (from == "state" || to == "state") {
+		delay = time.Duration(float64(delay) * world.stateSlowFactor)
 	}
-	if w.disturbances != nil && w.now.Before(w.disturbances.slowAnswersUntil) && (from == "state" || from == "cloud") {
-		d += time.Duration(w.rng.Int64N(int64(w.disturbances.answerDelay)))
+	if world.disturbances != nil && world.now.Before(world.disturbances.slowAnswersUntil) && (from == "state" || from == "cloud") {
+		delay += time.Duration(world.rng.Int64N(int64(world.disturbances.answerDelay)))
 	}
-	if w.rng.Float64() < 0.01 {
-		d += time.Duration(w.rng.IntN(400)) * time.Millisecond
+	if world.rng.Float64() < 0.01 {
+		delay += time.Duration(world.rng.IntN(400)) * time.Millisecond
 	}
-	if w.rng.Float64() < w.lossRate {
-		if w.rng.IntN(2) == 0 {
+	if world.rng.Float64() < world.lossRate {
+		if world.rng.IntN(2) == 0 {
 			return
 		}
-		d += w.randomDelay()
+		delay += world.randomDelay()
 	}
-	w.schedule(d, deliver)
+	world.schedule(delay, deliver)
 }
 
-// randomDelay draws how late a message is that was held up somewhere.
-func (w *World) randomDelay() time.Duration { return time.Duration(5+w.rng.IntN(100)) * time.Second }
+// randomDelay draws the delay of a message that the network delivers very late.
+func (world *World) randomDelay() time.Duration {
+	return time.Duration(5+world.rng.IntN(100)) * time.Second
+}
 
-// maxRandomDelay bounds randomDelay.
+// maxRandomDelay is the upper bound of randomDelay.
 const maxRandomDelay = 105 * time.Second
 
 // clearTasks removes all tasks from a machine.
-func (w *World) clearTasks(m *Worker) {
-	for _, t := range m.tasks {
-		w.releaseTask(t)
+func (world *World) clearTasks(machine *Worker) {
+	for _, task := range machine.tasks {
+		world.releaseTask(task)
 	}
-	clear(m.tasks)
+	clear(machine.tasks)
 }
 
-// releaseTask gives back what a task takes, if anything.
-func (w *World) releaseTask(t *workerTask) {
-	if t.onMachine() {
-		team := t.job.spec.Team
-		w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, -1)
-		w.replicaDown(t)
+// releaseTask subtracts the resources of a task from its team's usage if the task takes any.
+func (world *World) releaseTask(task *workerTask) {
+	if task.onMachine() {
+		team := task.job.spec.Team
+		world.teamUsage[team] = world.teamUsage[team].AddScaled(task.job.spec.Need, -1)
+		world.replicaDown(task)
 	}
 }
 
-// Outage makes the state service unavailable for d. Afterwards every lease has its full time again.
-func (w *World) Outage(d time.Duration) {
-	w.stateOutage = true
-	if until := w.now.Add(d); until.After(w.stateOutageUntil) {
-		w.stateOutageUntil = until
+// Outage makes the state service unavailable for the given duration. At the end of the outage every
+// lease is renewed to its full TTL. Outages may overlap.
+func (world *World) Outage(duration time.Duration) {
+	world.stateOutage = true
+	if until := world.now.Add(duration); until.After(world.stateOutageUntil) {
+		world.stateOutageUntil = until
 	}
-	w.schedule(d, func() {
-		if w.stateOutage = w.now.Before(w.stateOutageUntil); w.stateOutage {
+	world.schedule(duration, func() {
+		if world.stateOutage = world.now.Before(world.stateOutageUntil); world.stateOutage {
 			return
 		}
-		w.state.RenewLeases(w.now)
+		world.state.RenewLeases(world.now)
 	})
 }
 
-// runningTasks counts a job's tasks on machines.
-func (w *World) runningTasks(id string) int {
+// runningTasks returns the number of a job's attempts that take resources of living machines.
+func (world *World) runningTasks(id string) int {
 	k := 0
-	for _, m := range w.machines {
-		for _, t := range m.tasks {
-			if t.job.spec.ID == id && t.onMachine() && !m.dead {
+	for _, machine := range world.machines {
+		for _, task := range machine.tasks {
+			if task.job.spec.ID == id && task.onMachine() && !machine.dead {
 				k++
 			}
 		}
@@ -359,62 +387,62 @@
 	return k
 }
 
-// randomFault begins a random fault, often while another lasts.
-func (w *World) randomFault(rng *rand.Rand) {
+// randomFault begins a fault that is drawn from rng. Earlier faults may still be active.
+func (world *World) randomFault(rng *rand.Rand) {
 	dur := time.Duration(5+rng.IntN(35)) * time.Second
-	p := w.controllers[rng.IntN(len(w.controllers))]
-	hold := rng.IntN(2) == 0
+	process := world.controllers[rng.IntN(len(world.controllers))]
+	holdMessages := rng.IntN(2) == 0
 	var machines []*Worker
-	for _, id := range sortedKeys(w.machines) {
-		if m := w.machines[id]; m.up(w.now) {
-			machines = append(machines, m)
+	for _, id := range sortedKeys(world.machines) {
+		if machine := world.machines[id]; machine.up(world.now) {
+			machines = append(machines, machine)
 		}
 	}
 	switch rng.IntN(12) {
 	case 0:
-		w.CrashController(p.index, 5*time.Second)
+		world.CrashController(process.index, 5*time.Second)
 	case 1:
-		for i := range w.controllers {
-			w.CrashController(i, 5*time.Second)
+		for i := range world.controllers {
+			world.CrashController(i, 5*time.Second)
 		}
 	case 2:
-		w.Partition(p.name, "*", dur, hold)
+		world.Partition(process.name, "*", dur, holdMessages)
 	case 3:
-		w.Partition(p.name, "state", dur, hold)
+		world.Partition(process.name, "state", dur, holdMessages)
 	case 4:
-		w.Partition(p.name, "workers", dur, hold)
+		world.Partition(process.name, "workers", dur, holdMessages)
 	case 5:
-		w.refuseController(p, dur)
+		world.refuseController(process, dur)
 	case 6:
-		w.Outage(dur)
+		world.Outage(dur)
 	case 7:
-		w.cloudOutage = true
-		w.schedule(dur, func() { w.cloudOutage = false })
+		world.cloudOutage = true
+		world.schedule(dur, func() { world.cloudOutage = false })
 	case 8:
-		for _, m := range machines {
-			if m.Spot && rng.IntN(2) == 0 {
-				m.reclaimAt = w.now.Add(time.Duration(rng.IntN(15)) * time.Second)
+		for _, machine := range machines {
+			if machine.Spot && rng.IntN(2) == 0 {
+				machine.reclaimAt = world.now.Add(time.Duration(rng.IntN(15)) * time.Second)
 			}
 		}
 	default:
 		if len(machines) == 0 {
 			return
 		}
-		m := machines[rng.IntN(len(machines))]
+		machine := machines[rng.IntN(len(machines))]
 		switch rng.IntN(5) {
 		case 0:
-			w.killMachine(m)
+			world.killMachine(machine)
 		case 1, 2:
-			m.hungUntil = w.now.Add(dur)
+			machine.hungUntil = world.now.Add(dur)
 		case 3:
-			w.Partition(m.ID, "*", dur, hold)
+			world.Partition(machine.ID, "*", dur, holdMessages)
 		case 4:
-			m.slowFactor = 3
+			machine.slowFactor = 3
 		}
 	}
 }
 
-// containsAny reports whether s contains one of the words, which are separated by "|".
+// containsAny reports whether s contains one of words, a list separated by "|".
 func containsAny(s, words string) bool {
 	for _, w := range strings.Split(words, "|") {
 		if strings.Contains(s, w) {
