--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -13,9 +13,9 @@
 )
 
 // deliverToAll delivers a heartbeat to every controller, and passes on their replies.
-func (w *World) deliverToAll(r model.Heartbeat, onReply func(message.HeartbeatReply)) {
-	for _, p := range w.controllers {
-		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e message.Effect) { onReply(e.(message.HeartbeatReply)) })
+func (world *World) deliverToAll(heartbeat model.Heartbeat, onReply func(message.HeartbeatReply)) {
+	for _, process := range world.controllers {
+		process.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat} }, func(effect message.Effect) { onReply(effect.(message.HeartbeatReply)) })
 	}
 }
 
@@ -27,83 +27,83 @@
 func TestOldHeartbeatAtEveryController(t *testing.T) {
 	// play returns the time from the crash of the shard leader to the next start, and how many
 	// copies of the heartbeat were answered.
-	play := func(t *testing.T, before bool, kind string, at time.Duration) (next time.Duration, answered int) {
-		set := testSettings()
-		set.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 7}}}
-		w := newSmallWorld(5, set)
+	simulate := func(t *testing.T, beforeStart bool, fault string, delay time.Duration) (nextStart time.Duration, answered int) {
+		settings := testSettings()
+		settings.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 7}}}
+		world := newSmallWorld(5, settings)
 		// Two machines with free capacity for one of the small jobs each.
-		w.submitMany("f", "ops", 2, 1, 3, 3*time.Minute)
-		w.Run(45 * time.Second)
+		world.submitMany("f", "ops", 2, 1, 3, 3*time.Minute)
+		world.Run(45 * time.Second)
 		// Heartbeats of machines before the task is submitted.
-		var old []model.Heartbeat
-		for _, m := range w.fleet {
-			old = append(old, m.heartbeat(w.now))
+		var oldHeartbeats []model.Heartbeat
+		for _, machine := range world.fleet {
+			oldHeartbeats = append(oldHeartbeats, machine.heartbeat(world.now))
 		}
-		id := w.submitMany("x", "ops", 1, 1, 1, 3*time.Minute)[0]
-		w.Run(10 * time.Second)
-		ms := w.machinesRunning(id)
-		if len(ms) != 1 {
-			t.Fatalf("got the task on %d machines, want 1", len(ms))
+		id := world.submitMany("x", "ops", 1, 1, 1, 3*time.Minute)[0]
+		world.Run(10 * time.Second)
+		machines := world.machinesRunning(id)
+		if len(machines) != 1 {
+			t.Fatalf("got the task on %d machines, want 1", len(machines))
 		}
-		m := ms[0]
-		i := slices.IndexFunc(old, func(r model.Heartbeat) bool { return r.Machine == m.ID })
+		machine := machines[0]
+		i := slices.IndexFunc(oldHeartbeats, func(heartbeat model.Heartbeat) bool { return heartbeat.Machine == machine.ID })
 		if i < 0 {
 			t.Fatal("got the task on a machine that had sent no heartbeat before")
 		}
-		r := old[i]
-		if !before {
-			r = m.heartbeat(w.now)
+		heartbeat := oldHeartbeats[i]
+		if !beforeStart {
+			heartbeat = machine.heartbeat(world.now)
 		}
-		w.Run(4 * time.Second)
+		world.Run(4 * time.Second)
 		// Without the cloud no release proves that the task has stopped, only its lease does.
-		w.cloudOutage = true
-		w.schedule(80*time.Second, func() { w.cloudOutage = false })
-		switch kind {
+		world.cloudOutage = true
+		world.schedule(80*time.Second, func() { world.cloudOutage = false })
+		switch fault {
 		case "dies":
-			w.killMachine(m)
+			world.killMachine(machine)
 		case "cancelled":
-			w.submitMany("y", "ops", 1, 1, 1, time.Minute)
-			w.Cancel(id)
-			w.Partition(m.ID, "*", time.Minute, false)
+			world.submitMany("y", "ops", 1, 1, 1, time.Minute)
+			world.Cancel(id)
+			world.Partition(machine.ID, "*", time.Minute, false)
 		default:
-			w.Partition(m.ID, "*", time.Minute, false)
+			world.Partition(machine.ID, "*", time.Minute, false)
 		}
-		w.Run(time.Second)
-		from, started := w.now, w.Starts
-		leader, shardLeader := w.leaderIndex(0), w.shardLeaderOf("ops")
-		w.CrashController(leader, 5*time.Second)
-		w.CrashController(shardLeader, 5*time.Second)
-		if at > 0 {
+		world.Run(time.Second)
+		crashedAt, started := world.now, world.Starts
+		leader, shardLeader := world.leaderIndex(0), world.shardLeaderOf("ops")
+		world.CrashController(leader, 5*time.Second)
+		world.CrashController(shardLeader, 5*time.Second)
+		if delay > 0 {
 			// Three times, as a worker retries its heartbeat.
 			for k := range 3 {
-				w.schedule(at+time.Duration(k)*time.Second, func() { w.deliverToAll(r, func(message.HeartbeatReply) { answered++ }) })
+				world.schedule(delay+time.Duration(k)*time.Second, func() { world.deliverToAll(heartbeat, func(message.HeartbeatReply) { answered++ }) })
 			}
 		}
-		if next = w.waitUntil(3*time.Minute, func() bool { return w.Starts > started }); next < 0 {
+		if nextStart = world.waitUntil(3*time.Minute, func() bool { return world.Starts > started }); nextStart < 0 {
 			t.Error("got no start within 3m, want one")
 		}
-		w.Run(w.now.Sub(from) + 4*time.Minute)
-		checkFinalAnswers(t, w, true)
-		checkNoViolations(t, w)
-		return next, answered
+		world.Run(world.now.Sub(crashedAt) + 4*time.Minute)
+		checkFinalAnswers(t, world, true)
+		checkNoViolations(t, world)
+		return nextStart, answered
 	}
-	for _, before := range []bool{true, false} {
-		for _, kind := range []string{"dies", "cut", "cancelled"} {
-			plain, _ := play(t, before, kind, 0)
-			moments := []time.Duration{10 * time.Second, 20 * time.Second, 30 * time.Second}
-			for at := 500 * time.Millisecond; at <= 6*time.Second; at += 500 * time.Millisecond {
-				moments = append(moments, at)
+	for _, beforeStart := range []bool{true, false} {
+		for _, fault := range []string{"dies", "cut", "cancelled"} {
+			baseline, _ := simulate(t, beforeStart, fault, 0)
+			delays := []time.Duration{10 * time.Second, 20 * time.Second, 30 * time.Second}
+			for delay := 500 * time.Millisecond; delay <= 6*time.Second; delay += 500 * time.Millisecond {
+				delays = append(delays, delay)
 			}
-			for _, i := range sampleCases(len(moments), 4) {
-				at := moments[i]
-				t.Run(fmt.Sprintf("before=%v %s %v", before, kind, at), func(t *testing.T) {
+			for _, i := range sampleCases(len(delays), 4) {
+				delay := delays[i]
+				t.Run(fmt.Sprintf("before=%v %s %v", beforeStart, fault, delay), func(t *testing.T) {
 					t.Parallel()
-					next, answered := play(t, before, kind, at)
+					nextStart, answered := simulate(t, beforeStart, fault, delay)
 					if answered < 4 {
 						t.Errorf("got %d answered copies, want at least 4", answered)
 					}
-					if next > plain+5*time.Second {
-						t.Errorf("got the next start after %v, want at most 5s more than without the old heartbeat, %v", next, plain)
+					if nextStart > baseline+5*time.Second {
+						t.Errorf("got the next start after %v, want at most 5s more than without the old heartbeat, %v", nextStart, baseline)
 					}
 				})
 			}
@@ -118,35 +118,35 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			types, _ := testTypes()
-			w := NewWorld(seed, 3, testSettings(), testCancelWithin, types, map[string]int{"small/a/false": 12, "small/b/false": 8, "small/b/true": 4})
+			world := NewWorld(seed, 3, testSettings(), testCancelWithin, types, map[string]int{"small/a/false": 12, "small/b/false": 8, "small/b/true": 4})
 			for i := range 9 {
 				spec := batchJob(fmt.Sprintf("job-b%03d", i), "ops", []int{1, 3, 6}[i%3], 2, 40*time.Second)
 				spec.Zone, spec.SameZone, spec.AllowSpot = "b", i%4 == 0, i%2 == 0
-				w.Submit(spec, 40*time.Second, false)
+				world.Submit(spec, 40*time.Second, false)
 			}
-			w.submitMany("a", "ops", 6, 2, 2, 40*time.Second)
-			w.Run(50 * time.Second)
-			lost := 0
-			for i, id := range sortedKeys(w.machines) {
-				m := w.machines[id]
+			world.submitMany("a", "ops", 6, 2, 2, 40*time.Second)
+			world.Run(50 * time.Second)
+			lostTasks := 0
+			for i, id := range sortedKeys(world.machines) {
+				machine := world.machines[id]
 				switch {
-				case m.Zone != "b" || !m.up(w.now):
+				case machine.Zone != "b" || !machine.up(world.now):
 				case i%2 == 0:
-					lost += len(m.tasks)
-					w.killMachine(m)
+					lostTasks += len(machine.tasks)
+					world.killMachine(machine)
 				case i%3 == 0:
-					w.Partition(m.ID, "*", 45*time.Second, seed%2 == 0)
+					world.Partition(machine.ID, "*", 45*time.Second, seed%2 == 0)
 				}
 			}
-			if lost == 0 {
+			if lostTasks == 0 {
 				t.Fatal("got no tasks on the lost machines, want some")
 			}
 			if seed%2 == 1 {
-				w.CrashController(w.shardLeaderOf("ops"), 5*time.Second)
+				world.CrashController(world.shardLeaderOf("ops"), 5*time.Second)
 			}
-			w.Run(7 * time.Minute)
-			checkFinalAnswers(t, w, false)
-			checkNoViolations(t, w)
+			world.Run(7 * time.Minute)
+			checkFinalAnswers(t, world, false)
+			checkNoViolations(t, world)
 		})
 	}
 }
@@ -165,47 +165,47 @@
 		{"ten of 5 s", 2 * time.Second, 5 * time.Second, 12 * time.Second, 8},
 		{"none", 0, 0, 0, 10},
 	} {
-		for _, back := range []time.Duration{100 * time.Millisecond, 5 * time.Second} {
-			t.Run(fmt.Sprintf("%s back=%v", outage.name, back), func(t *testing.T) {
+		for _, restartAfter := range []time.Duration{100 * time.Millisecond, 5 * time.Second} {
+			t.Run(fmt.Sprintf("%s back=%v", outage.name, restartAfter), func(t *testing.T) {
 				t.Parallel()
-				w := newTestWorldOfSize(3, 5)
-				cancelled := w.submitMany("c", "ops", 10, 2, 2, 10*time.Minute)
-				w.submitMany("x", "ops", 6, 2, 2, 90*time.Second)
-				w.Run(50 * time.Second)
+				world := newTestWorldOfSize(3, 5)
+				cancelled := world.submitMany("c", "ops", 10, 2, 2, 10*time.Minute)
+				world.submitMany("x", "ops", 6, 2, 2, 90*time.Second)
+				world.Run(50 * time.Second)
 				if outage.long > 0 {
 					for k := 0; k == 0 || outage.every > 0 && k < 10; k++ {
-						w.schedule(outage.from+time.Duration(k)*outage.every, func() { w.Outage(outage.long) })
+						world.schedule(outage.from+time.Duration(k)*outage.every, func() { world.Outage(outage.long) })
 					}
 				}
-				changes, leader, inside := 0, w.leaderName(), 0
+				changes, leader, crashesInOutage := 0, world.leaderName(), 0
 				for k := range 10 {
-					w.schedule(time.Duration(k)*12*time.Second+4*time.Second, func() {
-						inside += boolInt(w.stateOutage)
-						i := w.leaderIndex(k)
-						if !w.controllers[i].alive {
-							i = slices.IndexFunc(w.controllers, func(p *controllerProcess) bool { return p.alive })
+					world.schedule(time.Duration(k)*12*time.Second+4*time.Second, func() {
+						crashesInOutage += boolInt(world.stateOutage)
+						i := world.leaderIndex(k)
+						if !world.controllers[i].alive {
+							i = slices.IndexFunc(world.controllers, func(process *controllerProcess) bool { return process.alive })
 						}
-						w.CrashController(i, back)
-						w.Cancel(cancelled[k])
+						world.CrashController(i, restartAfter)
+						world.Cancel(cancelled[k])
 					})
 				}
 				for range 1200 {
-					w.Run(tickInterval)
-					if now := w.leaderName(); now != "" && now != leader {
-						changes, leader = changes+1, now
+					world.Run(tickInterval)
+					if current := world.leaderName(); current != "" && current != leader {
+						changes, leader = changes+1, current
 					}
 				}
-				w.Run(4 * time.Minute)
-				t.Logf("%d changes of leadership, %d crashes inside an outage", changes, inside)
-				if changes < outage.changes || inside == 0 && outage.long > 0 {
-					t.Errorf("got %d changes of leadership, %d crashes inside an outage, want at least %d and, with outages, some", changes, inside, outage.changes)
+				world.Run(4 * time.Minute)
+				t.Logf("%d changes of leadership, %d crashes inside an outage", changes, crashesInOutage)
+				if changes < outage.changes || crashesInOutage == 0 && outage.long > 0 {
+					t.Errorf("got %d changes of leadership, %d crashes inside an outage, want at least %d and, with outages, some", changes, crashesInOutage, outage.changes)
 				}
-				for i, id := range sortedKeys(w.jobs) {
-					if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; w.jobs[id].lastState != want {
-						t.Errorf("job %d, %s: got final state %q, want %q", i, id, w.jobs[id].lastState, want)
+				for i, id := range sortedKeys(world.jobs) {
+					if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; world.jobs[id].lastState != want {
+						t.Errorf("job %d, %s: got final state %q, want %q", i, id, world.jobs[id].lastState, want)
 					}
 				}
-				checkNoViolations(t, w)
+				checkNoViolations(t, world)
 			})
 		}
 	}
@@ -223,54 +223,54 @@
 			t.Run(fmt.Sprintf("cancel=%v %v", cancel, wait), func(t *testing.T) {
 				t.Parallel()
 				types, capacity := testTypes()
-				w := NewWorld(2, 3, testSettings(), cancel, types, capacity)
-				ids := w.submitMany("x", "ops", 6, 2, 2, 10*time.Minute)
-				w.Run(60 * time.Second)
-				former := w.shardLeaderOf("ops")
-				if w.leaderIndex(-1) != former {
+				world := NewWorld(2, 3, testSettings(), cancel, types, capacity)
+				ids := world.submitMany("x", "ops", 6, 2, 2, 10*time.Minute)
+				world.Run(60 * time.Second)
+				former := world.shardLeaderOf("ops")
+				if world.leaderIndex(-1) != former {
 					t.Fatal("got a leader that is not the shard leader")
 				}
 				// Without the cloud no release proves that tasks have stopped.
-				const cut = 90 * time.Second
-				w.cloudOutage = true
-				w.schedule(cut, func() { w.cloudOutage = false })
-				last := w.trackLastRun(ids...)
-				w.IsolateController(former, cut, wait == 5*time.Second, false)
+				const partitionDuration = 90 * time.Second
+				world.cloudOutage = true
+				world.schedule(partitionDuration, func() { world.cloudOutage = false })
+				lastRun := world.trackLastRun(ids...)
+				world.IsolateController(former, partitionDuration, wait == 5*time.Second, false)
 				for _, id := range ids[:3] {
-					for _, m := range w.machinesRunning(id) {
-						for i, p := range w.controllers {
+					for _, machine := range world.machinesRunning(id) {
+						for i, process := range world.controllers {
 							if i != former {
-								w.Partition(m.ID, p.name, cut, false)
+								world.Partition(machine.ID, process.name, partitionDuration, false)
 							}
 						}
 					}
 				}
-				w.Run(wait)
-				other := (former + 1) % 3
+				world.Run(wait)
+				newController := (former + 1) % 3
 				for _, id := range ids {
-					w.jobs[id].cancelRequested = true
-					w.userRequestTo(other, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
-						if r == nil || r.State != "cancelled" {
-							t.Errorf("cancellation of %s: got %v, want state cancelled", id, r)
+					world.jobs[id].cancelRequested = true
+					world.userRequestTo(newController, func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} }, 5*time.Second, func(reply *message.UserReply) {
+						if reply == nil || reply.State != "cancelled" {
+							t.Errorf("cancellation of %s: got %v, want state cancelled", id, reply)
 						}
 					})
 				}
-				w.Run(500 * time.Millisecond)
-				if n := w.runningTasks(ids[0]); n == 0 || w.jobs[ids[0]].cancelledAt.IsZero() {
-					t.Errorf("got %d running tasks when the cancellation is confirmed, want some", n)
+				world.Run(500 * time.Millisecond)
+				if running := world.runningTasks(ids[0]); running == 0 || world.jobs[ids[0]].cancelledAt.IsZero() {
+					t.Errorf("got %d running tasks when the cancellation is confirmed, want some", running)
 				}
-				for end := w.now.Add(80 * time.Second); w.now.Before(end); w.Run(time.Second) {
+				for end := world.now.Add(80 * time.Second); world.now.Before(end); world.Run(time.Second) {
 					for _, id := range ids {
-						w.userRequestTo(former, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
-							if r != nil && r.Status == 200 && r.State != "cancelled" {
-								t.Errorf("%s: got state %s from the former leader, want cancelled or no answer", id, r.State)
+						world.userRequestTo(former, func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} }, 2*time.Second, func(reply *message.UserReply) {
+							if reply != nil && reply.Status == 200 && reply.State != "cancelled" {
+								t.Errorf("%s: got state %s from the former leader, want cancelled or no answer", id, reply.State)
 							}
 						})
 					}
 				}
-				checkStoppedWithin(t, w, last, w.cancelWithin)
-				w.Run(time.Minute)
-				checkNoViolations(t, w)
+				checkStoppedWithin(t, world, lastRun, world.cancelWithin)
+				world.Run(time.Minute)
+				checkNoViolations(t, world)
 			})
 		}
 	}
@@ -278,73 +278,73 @@
 
 // partitionZone partitions the machines of a zone and one controller from everything else for d,
 // including machines that are rented meanwhile.
-func (w *World) partitionZone(zone string, with int, d time.Duration, hold bool) {
-	till := w.now.Add(d)
-	machine := func(m *Worker) {
-		for i, p := range w.controllers {
-			if (i == with) != (m.Zone == zone) && w.now.Before(till) {
-				w.Partition(m.ID, p.name, till.Sub(w.now), hold)
+func (world *World) partitionZone(zone string, controller int, duration time.Duration, hold bool) {
+	until := world.now.Add(duration)
+	partitionMachine := func(machine *Worker) {
+		for i, process := range world.controllers {
+			if (i == controller) != (machine.Zone == zone) && world.now.Before(until) {
+				world.Partition(machine.ID, process.name, until.Sub(world.now), hold)
 			}
 		}
 	}
-	for _, m := range w.fleet {
-		machine(m)
+	for _, machine := range world.fleet {
+		partitionMachine(machine)
 	}
-	for _, x := range []string{"state", "cloud", "user"} {
-		w.Partition(w.controllers[with].name, x, d, hold)
+	for _, peer := range []string{"state", "cloud", "user"} {
+		world.Partition(world.controllers[controller].name, peer, duration, hold)
 	}
-	for i, p := range w.controllers {
-		if i != with {
-			w.Partition(w.controllers[with].name, p.name, d, hold)
+	for i, process := range world.controllers {
+		if i != controller {
+			world.Partition(world.controllers[controller].name, process.name, duration, hold)
 		}
 	}
-	w.onRented = machine
+	world.onRented = partitionMachine
 }
 
 // TestZonePartitionedWithController partitions a zone with the shard leader, or with another controller,
 // for longer than a worker lease, while some of the zone's jobs are cancelled and new ones come.
 func TestZonePartitionedWithController(t *testing.T) {
-	for _, owns := range []bool{true, false} {
-		for _, long := range []time.Duration{26 * time.Second, 90 * time.Second} {
+	for _, withShardLeader := range []bool{true, false} {
+		for _, duration := range []time.Duration{26 * time.Second, 90 * time.Second} {
 			for kind, cancel := range map[string]time.Duration{"held": testCancelWithin, "lost": testCancelWithin, "lost, no cloud": minCancelWithin} {
-				t.Run(fmt.Sprintf("owns=%v %v %s", owns, long, kind), func(t *testing.T) {
+				t.Run(fmt.Sprintf("owns=%v %v %s", withShardLeader, duration, kind), func(t *testing.T) {
 					t.Parallel()
 					types, capacity := testTypes()
-					w := NewWorld(4, 3, testSettings(), cancel, types, capacity)
+					world := NewWorld(4, 3, testSettings(), cancel, types, capacity)
 					for i := range 6 {
 						spec := batchJob(fmt.Sprintf("job-z%03d", i), "ops", 2, 2, 3*time.Minute)
 						spec.Zone = []string{"a", "b"}[i%2]
-						w.Submit(spec, 3*time.Minute, false)
+						world.Submit(spec, 3*time.Minute, false)
 					}
-					w.Run(60 * time.Second)
-					with := w.shardLeaderOf("ops")
-					if !owns {
-						with = (with + 1) % 3
+					world.Run(60 * time.Second)
+					controller := world.shardLeaderOf("ops")
+					if !withShardLeader {
+						controller = (controller + 1) % 3
 					}
-					if w.runningTasks("job-z001") != 2 {
-						t.Fatalf("got %d running tasks in the zone, want 2", w.runningTasks("job-z001"))
+					if world.runningTasks("job-z001") != 2 {
+						t.Fatalf("got %d running tasks in the zone, want 2", world.runningTasks("job-z001"))
 					}
-					w.partitionZone("b", with, long, kind == "held")
-					if w.cloudOutage = kind == "lost, no cloud"; w.cloudOutage {
-						w.schedule(long, func() { w.cloudOutage = false })
+					world.partitionZone("b", controller, duration, kind == "held")
+					if world.cloudOutage = kind == "lost, no cloud"; world.cloudOutage {
+						world.schedule(duration, func() { world.cloudOutage = false })
 					}
-					last := w.trackLastRun("job-z001")
-					w.Run(3 * time.Second)
-					w.Cancel("job-z001")
-					w.Run(4 * time.Second)
-					if w.runningTasks("job-z001") == 0 {
+					lastRun := world.trackLastRun("job-z001")
+					world.Run(3 * time.Second)
+					world.Cancel("job-z001")
+					world.Run(4 * time.Second)
+					if world.runningTasks("job-z001") == 0 {
 						t.Error("got the cancelled job stopped before any controller could reach its machines")
 					}
-					w.submitMany("n", "ops", 3, 1, 2, 20*time.Second)
-					w.Run(long)
+					world.submitMany("n", "ops", 3, 1, 2, 20*time.Second)
+					world.Run(duration)
 					// A shard leader in the zone still answers heartbeats until its grace period ends.
-					if w.cloudOutage = false; w.LostToLease == 0 && kind == "lost, no cloud" && (!owns || long > time.Minute) {
+					if world.cloudOutage = false; world.LostToLease == 0 && kind == "lost, no cloud" && (!withShardLeader || duration > time.Minute) {
 						t.Error("got no task lost to its lease, want some")
 					}
-					checkStoppedWithin(t, w, last, w.cancelWithin)
-					w.Run(8 * time.Minute)
-					checkFinalAnswers(t, w, true)
-					checkNoViolations(t, w)
+					checkStoppedWithin(t, world, lastRun, world.cancelWithin)
+					world.Run(8 * time.Minute)
+					checkFinalAnswers(t, world, true)
+					checkNoViolations(t, world)
 				})
 			}
 		}
@@ -353,17 +353,17 @@
 
 // blockHeartbeats keeps the heartbeats of machines from all controllers for d, while direct commands
 // reach them and are answered.
-func (w *World) blockHeartbeats(ids []string, d time.Duration) {
-	till, send := w.now.Add(d), w.heartbeatSender
-	w.heartbeatSender = func(m *Worker) {
-		if !slices.Contains(ids, m.ID) || !w.now.Before(till) {
-			send(m)
+func (world *World) blockHeartbeats(ids []string, duration time.Duration) {
+	until, send := world.now.Add(duration), world.heartbeatSender
+	world.heartbeatSender = func(machine *Worker) {
+		if !slices.Contains(ids, machine.ID) || !world.now.Before(until) {
+			send(machine)
 			return
 		}
-		incarnation := m.process
-		w.schedule(4*time.Second, func() {
-			if m.process == incarnation {
-				m.heartbeatPending, m.controller, m.nextHeartbeatAt = false, (m.controller+1)%len(w.controllers), w.now.Add(time.Second)
+		incarnation := machine.process
+		world.schedule(4*time.Second, func() {
+			if machine.process == incarnation {
+				machine.heartbeatPending, machine.controller, machine.nextHeartbeatAt = false, (machine.controller+1)%len(world.controllers), world.now.Add(time.Second)
 			}
 		})
 	}
@@ -372,38 +372,38 @@
 // TestMachinesReachNoController has machines whose heartbeats are lost while direct commands reach them,
 // for less and for longer than a worker lease; jobs there are cancelled, and their shard leader crashes.
 func TestMachinesReachNoController(t *testing.T) {
-	for _, ends := range []bool{false, true} {
-		for _, long := range []time.Duration{15 * time.Second, 40 * time.Second, 90 * time.Second} {
+	for _, crash := range []bool{false, true} {
+		for _, duration := range []time.Duration{15 * time.Second, 40 * time.Second, 90 * time.Second} {
 			for _, all := range []bool{false, true} {
-				t.Run(fmt.Sprintf("ends=%v %v all=%v", ends, long, all), func(t *testing.T) {
+				t.Run(fmt.Sprintf("ends=%v %v all=%v", crash, duration, all), func(t *testing.T) {
 					t.Parallel()
-					w := newSmallWorld(6, testSettings())
-					ids := w.submitMany("x", "ops", 8, 2, 2, 2*time.Minute)
-					w.Run(60 * time.Second)
-					var quiet []string
+					world := newSmallWorld(6, testSettings())
+					ids := world.submitMany("x", "ops", 8, 2, 2, 2*time.Minute)
+					world.Run(60 * time.Second)
+					var blocked []string
 					for i, id := range ids {
-						for _, m := range w.machinesRunning(id) {
-							if (all || i < 3) && !slices.Contains(quiet, m.ID) {
-								quiet = append(quiet, m.ID)
+						for _, machine := range world.machinesRunning(id) {
+							if (all || i < 3) && !slices.Contains(blocked, machine.ID) {
+								blocked = append(blocked, machine.ID)
 							}
 						}
 					}
-					w.blockHeartbeats(quiet, long)
-					last := w.trackLastRun(ids[0])
-					w.Run(2 * time.Second)
-					if ends {
-						w.CrashController(w.shardLeaderOf("ops"), 5*time.Second)
+					world.blockHeartbeats(blocked, duration)
+					lastRun := world.trackLastRun(ids[0])
+					world.Run(2 * time.Second)
+					if crash {
+						world.CrashController(world.shardLeaderOf("ops"), 5*time.Second)
 					}
-					w.Run(3 * time.Second)
-					w.Cancel(ids[0])
-					checkStoppedWithin(t, w, last, maxStopTime)
-					w.Run(long)
-					if len(quiet) < 2 || long > time.Minute && w.LostToLease == 0 || long < 24*time.Second && w.LostToLease > 0 {
-						t.Errorf("got %d tasks lost to leases on %d machines in %v, want some after a minute and none within a lease", w.LostToLease, len(quiet), long)
+					world.Run(3 * time.Second)
+					world.Cancel(ids[0])
+					checkStoppedWithin(t, world, lastRun, maxStopTime)
+					world.Run(duration)
+					if len(blocked) < 2 || duration > time.Minute && world.LostToLease == 0 || duration < 24*time.Second && world.LostToLease > 0 {
+						t.Errorf("got %d tasks lost to leases on %d machines in %v, want some after a minute and none within a lease", world.LostToLease, len(blocked), duration)
 					}
-					w.Run(6 * time.Minute)
-					checkFinalAnswers(t, w, true)
-					checkNoViolations(t, w)
+					world.Run(6 * time.Minute)
+					checkFinalAnswers(t, world, true)
+					checkNoViolations(t, world)
 				})
 			}
 		}
@@ -416,63 +416,63 @@
 	var early, late atomic.Int64
 	t.Run("offsets", func(t *testing.T) {
 		for _, kind := range []model.TaskCommandKind{model.StartTask, model.StopTask} {
-			held := []float64{0.5, 1, 2, 3, 4, 4.5, 5, 5.5, 6, 7, 8, 10, 12, 16}
-			for _, i := range sampleCases(len(held), 7) {
-				d := held[i]
-				t.Run(fmt.Sprintf("%s %v", kind, d), func(t *testing.T) {
+			delays := []float64{0.5, 1, 2, 3, 4, 4.5, 5, 5.5, 6, 7, 8, 10, 12, 16}
+			for _, i := range sampleCases(len(delays), 7) {
+				delay := delays[i]
+				t.Run(fmt.Sprintf("%s %v", kind, delay), func(t *testing.T) {
 					t.Parallel()
-					w := newTestWorldOfSize(8, 3)
-					w.submitMany("f", "ops", 4, 1, 2, 4*time.Minute)
-					w.submitMany("g", "ops", 2, 2, 2, 20*time.Second)
-					w.Run(80 * time.Second)
-					shardLeader := w.shardLeaderOf("ops")
-					var op message.WorkerRequest
-					if w.runningTasks("job-f000") == 0 {
+					world := newTestWorldOfSize(8, 3)
+					world.submitMany("f", "ops", 4, 1, 2, 4*time.Minute)
+					world.submitMany("g", "ops", 2, 2, 2, 20*time.Second)
+					world.Run(80 * time.Second)
+					shardLeader := world.shardLeaderOf("ops")
+					var heldRequest message.WorkerRequest
+					if world.runningTasks("job-f000") == 0 {
 						t.Fatal("got no running task of job-f000")
 					}
-					last := w.trackLastRun("job-f000", "job-f001")
-					held, done, accepted := false, false, false
-					w.corruptEffect = func(e message.Effect) message.Effect {
-						x, ok := e.(message.WorkerRequest)
-						if held || !ok || !slices.ContainsFunc(x.Commands, func(o model.TaskCommand) bool { return o.Kind == kind }) {
-							return e
+					lastRun := world.trackLastRun("job-f000", "job-f001")
+					held, delivered, accepted := false, false, false
+					world.corruptEffect = func(effect message.Effect) message.Effect {
+						request, ok := effect.(message.WorkerRequest)
+						if held || !ok || !slices.ContainsFunc(request.Commands, func(command model.TaskCommand) bool { return command.Kind == kind }) {
+							return effect
 						}
-						held, op = true, x
-						w.schedule(time.Millisecond, func() { w.CrashController(shardLeader, 5*time.Second) })
-						w.schedule(record.DurationOfSeconds(d), func() {
-							m := w.machines[op.Machine]
-							if seen := m.epoch > op.Epoch; seen {
+						held, heldRequest = true, request
+						world.schedule(time.Millisecond, func() { world.CrashController(shardLeader, 5*time.Second) })
+						world.schedule(record.DurationOfSeconds(delay), func() {
+							machine := world.machines[heldRequest.Machine]
+							if successorSeen := machine.epoch > heldRequest.Epoch; successorSeen {
 								late.Add(1)
 							} else {
 								early.Add(1)
 							}
-							done, accepted = true, w.executeDirect(m, op).OK
-							if accepted != (m.epoch <= op.Epoch) {
-								t.Errorf("command of epoch %d at a machine of epoch %d: got accepted %v", op.Epoch, m.epoch, accepted)
+							delivered, accepted = true, world.executeDirect(machine, heldRequest).OK
+							if accepted != (machine.epoch <= heldRequest.Epoch) {
+								t.Errorf("command of epoch %d at a machine of epoch %d: got accepted %v", heldRequest.Epoch, machine.epoch, accepted)
 							}
 						})
 						return nil
 					}
 					if kind == model.StopTask {
-						w.Cancel("job-f000")
-						w.Cancel("job-f001")
+						world.Cancel("job-f000")
+						world.Cancel("job-f001")
 					} else {
-						w.submitMany("x", "ops", 4, 1, 2, 30*time.Second)
+						world.submitMany("x", "ops", 4, 1, 2, 30*time.Second)
 					}
-					w.waitUntil(time.Minute, func() bool { return held })
-					w.Run(20 * time.Second)
-					if !held || !done {
-						t.Fatalf("got command held %v, delivered %v, want both", held, done)
+					world.waitUntil(time.Minute, func() bool { return held })
+					world.Run(20 * time.Second)
+					if !held || !delivered {
+						t.Fatalf("got command held %v, delivered %v, want both", held, delivered)
 					}
 					if kind == model.StopTask {
-						checkStoppedWithin(t, w, last, maxStopTime)
+						checkStoppedWithin(t, world, lastRun, maxStopTime)
 					}
-					w.Run(4 * time.Minute)
-					if want := map[model.TaskCommandKind]int{model.StartTask: 12, model.StopTask: 8}[kind]; w.Starts != want {
-						t.Errorf("got %d starts, want %d", w.Starts, want)
+					world.Run(4 * time.Minute)
+					if want := map[model.TaskCommandKind]int{model.StartTask: 12, model.StopTask: 8}[kind]; world.Starts != want {
+						t.Errorf("got %d starts, want %d", world.Starts, want)
 					}
-					checkFinalAnswers(t, w, true)
-					checkNoViolations(t, w)
+					checkFinalAnswers(t, world, true)
+					checkNoViolations(t, world)
 				})
 			}
 		}
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -52,25 +52,25 @@
 var jobModel = porcupine.Model{
 	Init: func() any { return unknown },
 	Step: func(state, input, output any) (bool, any) {
-		was, op, said := state.(jobFate), input.(jobOperation), output.(jobAnswer)
-		next := was
+		previous, operation, answer := state.(jobFate), input.(jobOperation), output.(jobAnswer)
+		next := previous
 		switch {
-		case op.kind == opSubmit && was == unknown:
+		case operation.kind == opSubmit && previous == unknown:
 			next = accepted
-		case op.kind == opCancel && was == accepted:
+		case operation.kind == opCancel && previous == accepted:
 			next = cancelled
-		case op.kind == opEnd:
-			return was == accepted, done
+		case operation.kind == opEnd:
+			return previous == accepted, done
 		}
 		switch {
-		case said.status == 0:
+		case answer.status == 0:
 			return true, next
-		case said.status == 404:
-			return op.kind != opSubmit && was == unknown, was
-		case said.status == 201:
-			return op.kind == opSubmit && was == unknown && said.fate == accepted, next
+		case answer.status == 404:
+			return operation.kind != opSubmit && previous == unknown, previous
+		case answer.status == 201:
+			return operation.kind == opSubmit && previous == unknown && answer.fate == accepted, next
 		}
-		return said.status == 200 && said.fate == next && was != unknown, next
+		return answer.status == 200 && answer.fate == next && previous != unknown, next
 	},
 }
 
@@ -96,243 +96,245 @@
 // readDelays are the delays of a burst's requests in milliseconds.
 var readDelays = []time.Duration{0, 1, 2, 5, 20, 60, 150, 310}
 
-func newConcurrentReaders(w *World, seed uint64) *concurrentReaders {
-	c := &concurrentReaders{world: w, rng: rand.New(rand.NewPCG(seed, 37)), history: map[string][]porcupine.Operation{}, newestFate: map[string]jobFate{}, cancels: map[string]jobFate{}, sentFate: map[string]jobFate{},
+func newConcurrentReaders(world *World, seed uint64) *concurrentReaders {
+	readers := &concurrentReaders{world: world, rng: rand.New(rand.NewPCG(seed, 37)), history: map[string][]porcupine.Operation{}, newestFate: map[string]jobFate{}, cancels: map[string]jobFate{}, sentFate: map[string]jobFate{},
 		bursts: map[jobFate]int{}, unansweredCount: map[operationKind]int{}}
-	w.state.onChange = c.onChange
-	c.lostResponses = loseResponses(w, seed, 0)
-	return c
+	world.state.onChange = readers.onChange
+	readers.lostResponses = loseResponses(world, seed, 0)
+	return readers
 }
 
 // onChange sees each change of a record before any controller does.
-func (c *concurrentReaders) onChange(it message.KeyValue) {
-	id, over := strings.CutPrefix(it.Key, "job/")
-	var r struct {
+func (readers *concurrentReaders) onChange(change message.KeyValue) {
+	id, isJob := strings.CutPrefix(change.Key, "job/")
+	var rec struct {
 		Status jobFate `msgpack:"s"`
 	}
-	if !over || it.Deleted || msgpack.Unmarshal(it.Value, &r) != nil {
+	if !isJob || change.Deleted || msgpack.Unmarshal(change.Value, &rec) != nil {
 		return
 	}
-	if at := c.now(); r.Status == done {
-		c.add(porcupine.Operation{Input: jobOperation{id, opEnd}, Call: at, Output: jobAnswer{}, Return: at + 1})
+	if now := readers.now(); rec.Status == done {
+		readers.add(porcupine.Operation{Input: jobOperation{id, opEnd}, Call: now, Output: jobAnswer{}, Return: now + 1})
 	}
 	// Users who happen to query just now.
-	c.burst(id, r.Status)
+	readers.burst(id, rec.Status)
 }
 
-func (c *concurrentReaders) now() int64 { return c.world.now.Sub(c.world.startedAt).Nanoseconds() }
+func (readers *concurrentReaders) now() int64 {
+	return readers.world.now.Sub(readers.world.startedAt).Nanoseconds()
+}
 
-func (c *concurrentReaders) add(o porcupine.Operation) {
-	id := o.Input.(jobOperation).job
-	o.ClientId = len(c.history[id])
-	c.history[id] = append(c.history[id], o)
+func (readers *concurrentReaders) add(operation porcupine.Operation) {
+	id := operation.Input.(jobOperation).job
+	operation.ClientId = len(readers.history[id])
+	readers.history[id] = append(readers.history[id], operation)
 }
 
 // send sends one request to one controller.
-func (c *concurrentReaders) send(to int, kind operationKind, id string) {
-	w, sentAt, finished := c.world, c.now(), false
+func (readers *concurrentReaders) send(controller int, kind operationKind, id string) {
+	world, sentAt, finished := readers.world, readers.now(), false
 	timeout := 5 * time.Second
-	newCommand := func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
+	newCommand := func(reply uint64) message.Command { return message.SubmitJob{Reply: reply, Spec: world.jobs[id].spec} }
 	switch kind {
 	case opPoll:
 		timeout = 2 * time.Second
-		newCommand = func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }
+		newCommand = func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} }
 	case opCancel:
-		w.jobs[id].cancelRequested = true
-		newCommand = func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }
+		world.jobs[id].cancelRequested = true
+		newCommand = func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} }
 	}
-	finish := func(r message.UserReply) {
+	finish := func(reply message.UserReply) {
 		if finished {
 			return
 		}
 		finished = true
-		if !isDefinite(r) {
-			c.unanswered(jobOperation{id, kind}, sentAt, r)
+		if !isDefinite(reply) {
+			readers.unanswered(jobOperation{id, kind}, sentAt, reply)
 			return
 		}
-		said := jobAnswer{r.Status, fateOf(r)}
-		c.add(porcupine.Operation{Input: jobOperation{id, kind}, Call: sentAt, Output: said, Return: c.now()})
-		c.noteFate(id, said.fate)
+		answer := jobAnswer{reply.Status, fateOf(reply)}
+		readers.add(porcupine.Operation{Input: jobOperation{id, kind}, Call: sentAt, Output: answer, Return: readers.now()})
+		readers.noteFate(id, answer.fate)
 	}
-	w.schedule(timeout, func() { finish(message.UserReply{}) })
-	p := w.controllers[to]
-	w.sendMessage("user", p.name, func() {
+	world.schedule(timeout, func() { finish(message.UserReply{}) })
+	p := world.controllers[controller]
+	world.sendMessage("user", p.name, func() {
 		p.request(newCommand, func(e message.Effect) {
-			c.onSend(p, id, e.(message.UserReply))
-			w.sendMessage(p.name, "user", func() { finish(e.(message.UserReply)) })
+			readers.onSend(p, id, e.(message.UserReply))
+			world.sendMessage(p.name, "user", func() { finish(e.(message.UserReply)) })
 		})
 	})
 }
 
 // isDefinite reports whether an answer says something about the job.
-func isDefinite(r message.UserReply) bool {
-	return r.Status == 200 || r.Status == 201 || r.Status == 404
+func isDefinite(reply message.UserReply) bool {
+	return reply.Status == 200 || reply.Status == 201 || reply.Status == 404
 }
 
 // fateOf returns the fate that an answer says.
-func fateOf(r message.UserReply) jobFate {
-	if r.State == "queued" || r.State == "running" {
+func fateOf(reply message.UserReply) jobFate {
+	if reply.State == "queued" || reply.State == "running" {
 		return accepted
 	}
-	return jobFate(r.State)
+	return jobFate(reply.State)
 }
 
 // onSend sees an answer leave a controller. The answers of one incarnation must never go back, not
 // even if they were requested in another order.
-func (c *concurrentReaders) onSend(p *controllerProcess, id string, r message.UserReply) {
-	if !isDefinite(r) {
+func (readers *concurrentReaders) onSend(process *controllerProcess, id string, reply message.UserReply) {
+	if !isDefinite(reply) {
 		return
 	}
 	order := map[jobFate]int{accepted: 1, done: 2, cancelled: 2}
-	key := fmt.Sprintf("%s %s.%d", id, p.name, p.incarnation)
-	was, f := c.sentFate[key], fateOf(r)
-	if order[f] < order[was] {
-		c.violations = append(c.violations, fmt.Sprintf("%s: got answer %q after %q", key, f, was))
+	key := fmt.Sprintf("%s %s.%d", id, process.name, process.incarnation)
+	previous, fate := readers.sentFate[key], fateOf(reply)
+	if order[fate] < order[previous] {
+		readers.violations = append(readers.violations, fmt.Sprintf("%s: got answer %q after %q", key, fate, previous))
 	}
-	c.sentFate[key] = f
+	readers.sentFate[key] = fate
 }
 
 // unanswered records a request that may take effect later. If an earlier one of the kind is unanswered
 // too, or was answered before, it adds nothing to the history.
-func (c *concurrentReaders) unanswered(op jobOperation, asked int64, r message.UserReply) {
-	c.unansweredCount[op.kind]++
-	if r.Status != 0 && r.Status != 503 {
-		c.violations = append(c.violations, fmt.Sprintf("%s of %s: %d %s", op.kind, op.job, r.Status, r.Message))
+func (readers *concurrentReaders) unanswered(operation jobOperation, sentAt int64, reply message.UserReply) {
+	readers.unansweredCount[operation.kind]++
+	if reply.Status != 0 && reply.Status != 503 {
+		readers.violations = append(readers.violations, fmt.Sprintf("%s of %s: %d %s", operation.kind, operation.job, reply.Status, reply.Message))
 	}
-	if op.kind == opPoll {
+	if operation.kind == opPoll {
 		return
 	}
-	for _, o := range c.history[op.job] {
-		if in, said := o.Input.(jobOperation), o.Output.(jobAnswer); in.kind == op.kind && (o.Call < asked && (o.Return == math.MaxInt64 || o.Return < asked && said.fate != unknown)) {
-			c.retryUntilAnswered(op)
+	for _, earlier := range readers.history[operation.job] {
+		if input, answer := earlier.Input.(jobOperation), earlier.Output.(jobAnswer); input.kind == operation.kind && (earlier.Call < sentAt && (earlier.Return == math.MaxInt64 || earlier.Return < sentAt && answer.fate != unknown)) {
+			readers.retryUntilAnswered(operation)
 			return
 		}
 	}
-	c.add(porcupine.Operation{Input: op, Call: asked, Output: jobAnswer{}, Return: math.MaxInt64})
-	c.retryUntilAnswered(op)
+	readers.add(porcupine.Operation{Input: operation, Call: sentAt, Output: jobAnswer{}, Return: math.MaxInt64})
+	readers.retryUntilAnswered(operation)
 }
 
 // retryUntilAnswered repeats an unanswered request until its effect is known.
-func (c *concurrentReaders) retryUntilAnswered(op jobOperation) {
-	c.world.schedule(c.world.jitter(time.Second), func() {
-		if was := c.newestFate[op.job]; op.kind == opSubmit && was == unknown || op.kind == opCancel && was == accepted {
-			c.send(c.rng.IntN(len(c.world.controllers)), op.kind, op.job)
+func (readers *concurrentReaders) retryUntilAnswered(operation jobOperation) {
+	readers.world.schedule(readers.world.jitter(time.Second), func() {
+		if fate := readers.newestFate[operation.job]; operation.kind == opSubmit && fate == unknown || operation.kind == opCancel && fate == accepted {
+			readers.send(readers.rng.IntN(len(readers.world.controllers)), operation.kind, operation.job)
 		}
 	})
 }
 
 // noteFate records the newest fate that was answered, and starts a burst if it is new.
-func (c *concurrentReaders) noteFate(id string, f jobFate) {
-	if f == unknown || f == c.newestFate[id] || c.newestFate[id] == done || c.newestFate[id] == cancelled {
+func (readers *concurrentReaders) noteFate(id string, fate jobFate) {
+	if fate == unknown || fate == readers.newestFate[id] || readers.newestFate[id] == done || readers.newestFate[id] == cancelled {
 		return
 	}
-	c.newestFate[id], c.world.jobs[id].accepted = f, true
-	c.burst(id, f)
+	readers.newestFate[id], readers.world.jobs[id].accepted = fate, true
+	readers.burst(id, fate)
 }
 
 // burst queries all controllers, and resubmits the job, within milliseconds.
-func (c *concurrentReaders) burst(id string, f jobFate) {
-	c.bursts[f]++
-	for _, d := range readDelays {
-		for to := range c.world.controllers {
+func (readers *concurrentReaders) burst(id string, fate jobFate) {
+	readers.bursts[fate]++
+	for _, delay := range readDelays {
+		for controller := range readers.world.controllers {
 			kind := opPoll
-			if c.rng.IntN(4) == 0 {
+			if readers.rng.IntN(4) == 0 {
 				kind = opSubmit
 			}
-			c.world.schedule(d*time.Millisecond, func() { c.send(to, kind, id) })
+			readers.world.schedule(delay*time.Millisecond, func() { readers.send(controller, kind, id) })
 		}
 	}
-	if c.cancels[id] == f {
-		c.world.schedule(time.Duration(c.rng.IntN(4))*time.Millisecond, func() { c.send(c.rng.IntN(len(c.world.controllers)), opCancel, id) })
+	if readers.cancels[id] == fate {
+		readers.world.schedule(time.Duration(readers.rng.IntN(4))*time.Millisecond, func() { readers.send(readers.rng.IntN(len(readers.world.controllers)), opCancel, id) })
 	}
 }
 
 // addJob submits a job at a time, and cancels it after the fate cancelOn. Its user polls each second until
 // it has ended.
-func (c *concurrentReaders) addJob(at time.Duration, id string, run time.Duration, tasks int, cancelOn jobFate) {
+func (readers *concurrentReaders) addJob(at time.Duration, id string, run time.Duration, tasks int, cancelOn jobFate) {
 	spec := model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks,
 		Need: model.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
-	c.world.jobs[id] = newUserJob(spec, run)
-	c.world.schedule(at, func() {
-		c.world.jobs[id].submitted = c.world.now
+	readers.world.jobs[id] = newUserJob(spec, run)
+	readers.world.schedule(at, func() {
+		readers.world.jobs[id].submitted = readers.world.now
 		if cancelOn != unknown {
-			c.cancels[id] = cancelOn
+			readers.cancels[id] = cancelOn
 		}
-		c.burst(id, unknown)
-		c.send(c.rng.IntN(len(c.world.controllers)), opSubmit, id)
-		c.readEverywhere(id)
+		readers.burst(id, unknown)
+		readers.send(readers.rng.IntN(len(readers.world.controllers)), opSubmit, id)
+		readers.readEverywhere(id)
 	})
 }
 
 // readEverywhere polls a random controller each second until the job has ended.
-func (c *concurrentReaders) readEverywhere(id string) {
-	if f := c.newestFate[id]; f == done || f == cancelled {
+func (readers *concurrentReaders) readEverywhere(id string) {
+	if fate := readers.newestFate[id]; fate == done || fate == cancelled {
 		return
 	}
-	c.send(c.rng.IntN(len(c.world.controllers)), opPoll, id)
-	c.world.schedule(c.world.jitter(time.Second), func() { c.readEverywhere(id) })
+	readers.send(readers.rng.IntN(len(readers.world.controllers)), opPoll, id)
+	readers.world.schedule(readers.world.jitter(time.Second), func() { readers.readEverywhere(id) })
 }
 
 // startRandomFault starts one short fault.
-func (c *concurrentReaders) startRandomFault() {
-	w, d := c.world, time.Duration(200+c.rng.IntN(6000))*time.Millisecond
-	i := c.rng.IntN(len(w.controllers))
-	back := []time.Duration{20, 100, 300}[c.rng.IntN(3)] * time.Millisecond
-	switch c.rng.IntN(7) {
+func (readers *concurrentReaders) startRandomFault() {
+	world, duration := readers.world, time.Duration(200+readers.rng.IntN(6000))*time.Millisecond
+	i := readers.rng.IntN(len(world.controllers))
+	restartAfter := []time.Duration{20, 100, 300}[readers.rng.IntN(3)] * time.Millisecond
+	switch readers.rng.IntN(7) {
 	case 0:
-		w.CrashController(i, back)
+		world.CrashController(i, restartAfter)
 	case 1:
-		for i := range w.controllers {
-			w.CrashController(i, back)
+		for i := range world.controllers {
+			world.CrashController(i, restartAfter)
 		}
 	case 2:
-		w.refuseController(w.controllers[i], d)
+		world.refuseController(world.controllers[i], duration)
 	case 3:
-		w.stateSlowUntil, w.stateSlowFactor = w.now.Add(d), 15+10*c.rng.Float64()
+		world.stateSlowUntil, world.stateSlowFactor = world.now.Add(duration), 15+10*readers.rng.Float64()
 	case 4:
-		w.DelayWrites(0.5, d)
+		world.DelayWrites(0.5, duration)
 	case 5:
-		w.Pause(i, min(d, 1500*time.Millisecond))
+		world.Pause(i, min(duration, 1500*time.Millisecond))
 	case 6:
-		w.partitionOneWay("state", w.controllers[i].name, d)
+		world.partitionOneWay("state", world.controllers[i].name, duration)
 	}
 }
 
 // run submits jobs one after the other, of which some are cancelled, with faults or without.
-func (c *concurrentReaders) run(faults bool) {
-	const jobs, interval = 24, 4 * time.Second
-	for i := range jobs {
+func (readers *concurrentReaders) run(faults bool) {
+	const jobCount, interval = 24, 4 * time.Second
+	for i := range jobCount {
 		cancelOn := []jobFate{unknown, accepted, unknown, done, unknown, cancelled}[i%6]
-		c.addJob(30*time.Second+time.Duration(i)*interval, fmt.Sprintf("job-%06d", i), time.Duration(2+c.rng.IntN(12))*time.Second, 1+i%3, cancelOn)
+		readers.addJob(30*time.Second+time.Duration(i)*interval, fmt.Sprintf("job-%06d", i), time.Duration(2+readers.rng.IntN(12))*time.Second, 1+i%3, cancelOn)
 	}
 	if faults {
-		c.fraction = 0.15
+		readers.fraction = 0.15
 		for i := range 20 {
-			c.world.schedule(32*time.Second+time.Duration(i)*5*time.Second, c.startRandomFault)
+			readers.world.schedule(32*time.Second+time.Duration(i)*5*time.Second, readers.startRandomFault)
 		}
-		c.world.schedule(32*time.Second+20*5*time.Second, func() { c.fraction = 0 })
+		readers.world.schedule(32*time.Second+20*5*time.Second, func() { readers.fraction = 0 })
 	}
-	c.world.Run(5 * time.Minute)
+	readers.world.Run(5 * time.Minute)
 }
 
 // dropImpliedReads returns a history without the reads that another one implies: what is read within a
 // shorter interval is read within a longer one too. Porcupine would try all their orders.
 func dropImpliedReads(history []porcupine.Operation) []porcupine.Operation {
-	read := func(o porcupine.Operation) (jobAnswer, bool) {
-		said, kind := o.Output.(jobAnswer), o.Input.(jobOperation).kind
-		return said, said.status == 404 || said.status == 200 && (kind != opCancel || said.fate == done)
+	readAnswer := func(operation porcupine.Operation) (jobAnswer, bool) {
+		answer, kind := operation.Output.(jobAnswer), operation.Input.(jobOperation).kind
+		return answer, answer.status == 404 || answer.status == 200 && (kind != opCancel || answer.fate == done)
 	}
 	var out []porcupine.Operation
-	for i, o := range history {
-		said, reads := read(o)
+	for i, operation := range history {
+		answer, isRead := readAnswer(operation)
 		needed := true
-		for k, x := range history {
-			other, too := read(x)
-			inside := x.Call >= o.Call && x.Return <= o.Return && (k < i || x.Call > o.Call || x.Return < o.Return)
-			needed = needed && !(reads && too && k != i && other == said && inside)
+		for k, candidate := range history {
+			otherAnswer, otherIsRead := readAnswer(candidate)
+			inside := candidate.Call >= operation.Call && candidate.Return <= operation.Return && (k < i || candidate.Call > operation.Call || candidate.Return < operation.Return)
+			needed = needed && !(isRead && otherIsRead && k != i && otherAnswer == answer && inside)
 		}
 		if needed {
-			out = append(out, o)
+			out = append(out, operation)
 		}
 	}
 	return out
@@ -341,28 +343,28 @@
 // withSubmission adds the submission that took effect if none was answered so: its answer may leave
 // after the job was cancelled, and say that instead.
 func withSubmission(history []porcupine.Operation) []porcupine.Operation {
-	first := int64(math.MaxInt64)
-	for _, o := range history {
-		if in, said := o.Input.(jobOperation), o.Output.(jobAnswer); in.kind == opSubmit {
-			if said.status == 201 {
+	firstCall := int64(math.MaxInt64)
+	for _, operation := range history {
+		if input, answer := operation.Input.(jobOperation), operation.Output.(jobAnswer); input.kind == opSubmit {
+			if answer.status == 201 {
 				return history
 			}
-			first = min(first, o.Call)
+			firstCall = min(firstCall, operation.Call)
 		}
 	}
 	id := history[0].Input.(jobOperation).job
-	return append(history, porcupine.Operation{ClientId: len(history), Input: jobOperation{id, opSubmit}, Call: first, Output: jobAnswer{}, Return: math.MaxInt64})
+	return append(history, porcupine.Operation{ClientId: len(history), Input: jobOperation{id, opSubmit}, Call: firstCall, Output: jobAnswer{}, Return: math.MaxInt64})
 }
 
 // check returns all violations, with the jobs whose history is not linearizable.
-func (c *concurrentReaders) check() []string {
-	out := c.violations
-	for _, id := range sortedKeys(c.history) {
-		if r := porcupine.CheckOperationsTimeout(jobModel, dropImpliedReads(withSubmission(c.history[id])), 5*time.Second); r != porcupine.Ok {
-			out = append(out, fmt.Sprintf("%s: history is not linearizable: %s", id, r))
+func (readers *concurrentReaders) check() []string {
+	violations := readers.violations
+	for _, id := range sortedKeys(readers.history) {
+		if result := porcupine.CheckOperationsTimeout(jobModel, dropImpliedReads(withSubmission(readers.history[id])), 5*time.Second); result != porcupine.Ok {
+			violations = append(violations, fmt.Sprintf("%s: history is not linearizable: %s", id, result))
 		}
 	}
-	return out
+	return violations
 }
 
 // TestConcurrentReads has users query all controllers and resubmit jobs within milliseconds after, or
@@ -373,26 +375,26 @@
 	for seed := range dayCount(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newTestWorld(seed)
-			c := newConcurrentReaders(w, seed)
-			c.run(seed > 0)
-			reportViolations(t, append(w.Violations, c.check()...))
+			world := newTestWorld(seed)
+			readers := newConcurrentReaders(world, seed)
+			readers.run(seed > 0)
+			reportViolations(t, append(world.Violations, readers.check()...))
 			answers := 0
-			for _, id := range sortedKeys(w.jobs) {
-				answers += len(c.history[id])
-				if f := c.newestFate[id]; f != done && f != cancelled {
-					t.Errorf("%s: got final state %q, want done or cancelled", id, f)
+			for _, id := range sortedKeys(world.jobs) {
+				answers += len(readers.history[id])
+				if fate := readers.newestFate[id]; fate != done && fate != cancelled {
+					t.Errorf("%s: got final state %q, want done or cancelled", id, fate)
 				}
 			}
-			for _, f := range []jobFate{accepted, done, cancelled} {
-				if c.bursts[f] < 6 {
-					t.Errorf("got %d bursts after %s, want at least 6", c.bursts[f], f)
+			for _, fate := range []jobFate{accepted, done, cancelled} {
+				if readers.bursts[fate] < 6 {
+					t.Errorf("got %d bursts after %s, want at least 6", readers.bursts[fate], fate)
 				}
 			}
-			if seed > 0 && (c.lost["open"] == 0 || c.unansweredCount[opSubmit] == 0) {
-				t.Errorf("got lost responses %v and unanswered requests %v, want some of open records and submissions", c.lost, c.unansweredCount)
+			if seed > 0 && (readers.lost["open"] == 0 || readers.unansweredCount[opSubmit] == 0) {
+				t.Errorf("got lost responses %v and unanswered requests %v, want some of open records and submissions", readers.lost, readers.unansweredCount)
 			}
-			t.Logf("%d answers, bursts %v, lost responses %v, unanswered %v", answers, c.bursts, c.lost, c.unansweredCount)
+			t.Logf("%d answers, bursts %v, lost responses %v, unanswered %v", answers, readers.bursts, readers.lost, readers.unansweredCount)
 		})
 	}
 }
@@ -400,71 +402,71 @@
 // TestStaleAnswersAreDetected checks that the registers detect each corruption by which a controller
 // answers something older than was answered or stored before.
 func TestStaleAnswersAreDetected(t *testing.T) {
-	reply := func(e message.Effect, change func(*message.UserReply)) message.Effect {
-		if r, ok := e.(message.UserReply); ok {
-			change(&r)
-			return r
+	changeReply := func(effect message.Effect, change func(*message.UserReply)) message.Effect {
+		if userReply, ok := effect.(message.UserReply); ok {
+			change(&userReply)
+			return userReply
 		}
-		return e
+		return effect
 	}
-	unguarded := func(e message.Effect, first, without string) message.Effect {
-		op, ok := e.(message.StoreRequest)
-		if !ok || op.Kind != message.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, first) {
-			return e
+	dropCompares := func(effect message.Effect, writePrefix, comparePrefix string) message.Effect {
+		request, ok := effect.(message.StoreRequest)
+		if !ok || request.Kind != message.OpTxn || len(request.Writes) == 0 || !strings.HasPrefix(request.Writes[0].Key, writePrefix) {
+			return effect
 		}
 		var compares []message.Compare
-		for _, c := range op.Compares {
-			if !strings.HasPrefix(c.Key, without) {
-				compares = append(compares, c)
+		for _, compare := range request.Compares {
+			if !strings.HasPrefix(compare.Key, comparePrefix) {
+				compares = append(compares, compare)
 			}
 		}
-		op.Compares = compares
-		return op
+		request.Compares = compares
+		return request
 	}
 	for name, corrupt := range map[string]func(message.Effect) message.Effect{
 		"not corrupted": nil,
-		"polls are answered from a stale watch cache": func(e message.Effect) message.Effect {
-			if op, ok := e.(message.StoreRequest); ok && op.Kind == message.OpWatch && op.WatchTimeout == 0 && op.Key == "open/" {
+		"polls are answered from a stale watch cache": func(effect message.Effect) message.Effect {
+			if request, ok := effect.(message.StoreRequest); ok && request.Kind == message.OpWatch && request.WatchTimeout == 0 && request.Key == "open/" {
 				// The watch goes on and brings no changes.
-				op.Key = "none/"
-				return op
+				request.Key = "none/"
+				return request
 			}
-			return e
+			return effect
 		},
-		"refused submissions are answered as accepted": func(e message.Effect) message.Effect {
-			return reply(e, func(r *message.UserReply) {
-				if r.Status == 503 {
-					r.Status, r.State = 201, "queued"
+		"refused submissions are answered as accepted": func(effect message.Effect) message.Effect {
+			return changeReply(effect, func(userReply *message.UserReply) {
+				if userReply.Status == 503 {
+					userReply.Status, userReply.State = 201, "queued"
 				}
 			})
 		},
-		"refused requests are answered not found": func(e message.Effect) message.Effect {
-			return reply(e, func(r *message.UserReply) {
-				if r.Status == 503 {
-					r.Status = 404
+		"refused requests are answered not found": func(effect message.Effect) message.Effect {
+			return changeReply(effect, func(userReply *message.UserReply) {
+				if userReply.Status == 503 {
+					userReply.Status = 404
 				}
 			})
 		},
-		"a cancellation changes an ended job": func(e message.Effect) message.Effect {
-			return unguarded(e, "job/", "open/")
+		"a cancellation changes an ended job": func(effect message.Effect) message.Effect {
+			return dropCompares(effect, "job/", "open/")
 		},
-		"a resubmission starts a new job": func(e message.Effect) message.Effect {
-			return unguarded(e, "open/", "")
+		"a resubmission starts a new job": func(effect message.Effect) message.Effect {
+			return dropCompares(effect, "open/", "")
 		},
-		"a cancelled job is answered as queued": func(e message.Effect) message.Effect {
-			return reply(e, func(r *message.UserReply) {
-				if r.State == "cancelled" && r.Reply%7 == 0 {
-					r.State = "queued"
+		"a cancelled job is answered as queued": func(effect message.Effect) message.Effect {
+			return changeReply(effect, func(userReply *message.UserReply) {
+				if userReply.State == "cancelled" && userReply.Reply%7 == 0 {
+					userReply.State = "queued"
 				}
 			})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newTestWorld(3)
-			w.corruptEffect = corrupt
-			c := newConcurrentReaders(w, 3)
-			c.run(true)
-			if found := c.check(); (corrupt != nil) != (len(found) > 0) {
+			world := newTestWorld(3)
+			world.corruptEffect = corrupt
+			readers := newConcurrentReaders(world, 3)
+			readers.run(true)
+			if found := readers.check(); (corrupt != nil) != (len(found) > 0) {
 				t.Errorf("got violations %v, want some only if corrupted", found)
 			}
 		})
--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -61,118 +61,120 @@
 	revised    int
 }
 
-func (d *promiseRecorder) since(t time.Time) int64 { return t.Sub(d.world.startedAt).Nanoseconds() }
+func (recorder *promiseRecorder) since(t time.Time) int64 {
+	return t.Sub(recorder.world.startedAt).Nanoseconds()
+}
 
-func recordPromises(w *World) *promiseRecorder {
-	d := &promiseRecorder{world: w, newest: map[string]promiseValue{}, issuedAt: map[string]time.Time{}, writes: map[string]int{}}
-	w.state.onChange = d.onChange
-	w.onAnswer = func(asked time.Time, r message.UserReply) {
-		if r.PromiseRevision > 0 {
-			d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: promiseOperation{job: r.ID}, Call: d.since(asked), Output: promiseValue{r.PromiseRevision, r.PromisedAfter}, Return: d.since(w.now)})
+func recordPromises(world *World) *promiseRecorder {
+	recorder := &promiseRecorder{world: world, newest: map[string]promiseValue{}, issuedAt: map[string]time.Time{}, writes: map[string]int{}}
+	world.state.onChange = recorder.onChange
+	world.onAnswer = func(sentAt time.Time, reply message.UserReply) {
+		if reply.PromiseRevision > 0 {
+			recorder.history = append(recorder.history, porcupine.Operation{ClientId: len(recorder.history), Input: promiseOperation{job: reply.ID}, Call: recorder.since(sentAt), Output: promiseValue{reply.PromiseRevision, reply.PromisedAfter}, Return: recorder.since(world.now)})
 		}
 	}
-	return d
+	return recorder
 }
 
 // onStored records that a date was stored. Revisions count up by one, at most once a minute.
-func (d *promiseRecorder) onStored(id string, x promiseValue) {
-	was := d.newest[id]
+func (recorder *promiseRecorder) onStored(id string, value promiseValue) {
+	previous := recorder.newest[id]
 	switch {
-	case x.revision < was.revision || x == was || x.revision == 0:
+	case value.revision < previous.revision || value == previous || value.revision == 0:
 		return
-	case x.revision == was.revision || x.revision > was.revision+1:
-		d.violations = append(d.violations, fmt.Sprintf("%s: %v after %v", id, x, was))
-	case was.revision > 0 && d.world.now.Sub(d.issuedAt[id]) < time.Minute:
-		d.violations = append(d.violations, fmt.Sprintf("%s: %v only %v after %v", id, x, d.world.now.Sub(d.issuedAt[id]), was))
+	case value.revision == previous.revision || value.revision > previous.revision+1:
+		recorder.violations = append(recorder.violations, fmt.Sprintf("%s: %v after %v", id, value, previous))
+	case previous.revision > 0 && recorder.world.now.Sub(recorder.issuedAt[id]) < time.Minute:
+		recorder.violations = append(recorder.violations, fmt.Sprintf("%s: %v only %v after %v", id, value, recorder.world.now.Sub(recorder.issuedAt[id]), previous))
 	}
-	if x.revision > 1 {
-		d.revised++
+	if value.revision > 1 {
+		recorder.revised++
 	}
-	d.newest[id], d.issuedAt[id] = x, d.world.now
-	at := d.since(d.world.now)
-	d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: promiseOperation{id, x}, Call: at, Output: promiseValue{}, Return: at + 1})
+	recorder.newest[id], recorder.issuedAt[id] = value, recorder.world.now
+	at := recorder.since(recorder.world.now)
+	recorder.history = append(recorder.history, porcupine.Operation{ClientId: len(recorder.history), Input: promiseOperation{id, value}, Call: at, Output: promiseValue{}, Return: at + 1})
 }
 
-func (d *promiseRecorder) onChange(it message.KeyValue) {
-	d.writes[strings.SplitN(it.Key, "/", 2)[0]]++
-	if it.Deleted {
+func (recorder *promiseRecorder) onChange(change message.KeyValue) {
+	recorder.writes[strings.SplitN(change.Key, "/", 2)[0]]++
+	if change.Deleted {
 		return
 	}
-	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+	milliseconds := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	switch {
-	case strings.HasPrefix(it.Key, "open/~"):
-		d.writes["page"]++
-		es, err := promise.DecodePage(it.Value)
+	case strings.HasPrefix(change.Key, "open/~"):
+		recorder.writes["page"]++
+		entries, err := promise.DecodePage(change.Value)
 		if err != nil {
-			d.violations = append(d.violations, err.Error())
+			recorder.violations = append(recorder.violations, err.Error())
 		}
-		for _, id := range sortedKeys(es) {
-			d.onStored(id, promiseValue{es[id].Revision, es[id].After})
+		for _, id := range sortedKeys(entries) {
+			recorder.onStored(id, promiseValue{entries[id].Revision, entries[id].After})
 		}
-	case strings.HasPrefix(it.Key, "open/"):
-		var r struct {
+	case strings.HasPrefix(change.Key, "open/"):
+		var rec struct {
 			P int64 `msgpack:"p"`
 		}
-		if msgpack.Unmarshal(it.Value, &r) == nil && r.P > 0 {
-			d.onStored(it.Key[len("open/"):], promiseValue{1, ms(r.P)})
+		if msgpack.Unmarshal(change.Value, &rec) == nil && rec.P > 0 {
+			recorder.onStored(change.Key[len("open/"):], promiseValue{1, milliseconds(rec.P)})
 		}
-	case strings.HasPrefix(it.Key, "job/"):
-		var r struct {
+	case strings.HasPrefix(change.Key, "job/"):
+		var rec struct {
 			P   int64 `msgpack:"p"`
 			Rev int   `msgpack:"r"`
 		}
-		id := it.Key[len("job/"):]
-		if msgpack.Unmarshal(it.Value, &r) == nil && r.Rev > 0 {
-			if r.Rev < d.newest[id].revision {
-				d.violations = append(d.violations, fmt.Sprintf("%s: got final revision %d after %v", id, r.Rev, d.newest[id]))
+		id := change.Key[len("job/"):]
+		if msgpack.Unmarshal(change.Value, &rec) == nil && rec.Rev > 0 {
+			if rec.Rev < recorder.newest[id].revision {
+				recorder.violations = append(recorder.violations, fmt.Sprintf("%s: got final revision %d after %v", id, rec.Rev, recorder.newest[id]))
 			}
-			d.onStored(id, promiseValue{r.Rev, ms(r.P)})
+			recorder.onStored(id, promiseValue{rec.Rev, milliseconds(rec.P)})
 		}
 	}
 }
 
 // check returns all violations, with jobs whose dates are not linearizable.
-func (d *promiseRecorder) check() []string {
-	out := d.violations
-	for _, part := range promiseModel.Partition(d.history) {
-		if r := porcupine.CheckOperationsTimeout(promiseModel, part, 20*time.Second); r != porcupine.Ok {
-			out = append(out, fmt.Sprintf("%s: dates are not linearizable: %s", part[0].Input.(promiseOperation).job, r))
+func (recorder *promiseRecorder) check() []string {
+	violations := recorder.violations
+	for _, history := range promiseModel.Partition(recorder.history) {
+		if result := porcupine.CheckOperationsTimeout(promiseModel, history, 20*time.Second); result != porcupine.Ok {
+			violations = append(violations, fmt.Sprintf("%s: dates are not linearizable: %s", history[0].Input.(promiseOperation).job, result))
 		}
 	}
-	return out
+	return violations
 }
 
 // queryAll queries every job at every controller each second, until a time.
-func (d *promiseRecorder) queryAll(until time.Time) {
-	w := d.world
-	if w.now.After(until) {
+func (recorder *promiseRecorder) queryAll(until time.Time) {
+	world := recorder.world
+	if world.now.After(until) {
 		return
 	}
-	for _, id := range sortedKeys(w.jobs) {
-		for _, p := range w.controllers {
-			asked := w.now
-			w.sendMessage("user", p.name, func() {
-				p.request(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, func(e message.Effect) {
-					r := e.(message.UserReply)
-					w.sendMessage(p.name, "user", func() {
+	for _, id := range sortedKeys(world.jobs) {
+		for _, process := range world.controllers {
+			sentAt := world.now
+			world.sendMessage("user", process.name, func() {
+				process.request(func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} }, func(effect message.Effect) {
+					reply := effect.(message.UserReply)
+					world.sendMessage(process.name, "user", func() {
 						// A user waits for at most two seconds, as the protocol says.
-						if w.now.Sub(asked) < 2*time.Second {
-							w.onAnswer(asked, r)
+						if world.now.Sub(sentAt) < 2*time.Second {
+							world.onAnswer(sentAt, reply)
 						}
 					})
 				})
 			})
 		}
 	}
-	w.schedule(time.Second, func() { d.queryAll(until) })
+	world.schedule(time.Second, func() { recorder.queryAll(until) })
 }
 
 // newPromiseWorld returns a world with promises.
-func newPromiseWorld(seed uint64, n int) *World {
+func newPromiseWorld(seed uint64, controllers int) *World {
 	types, capacity := testTypes()
-	set := testSettings()
-	set.Capabilities = controller.Capabilities{Promises: true, PromiseFraction: 0.95}
-	return NewWorld(seed, n, set, testCancelWithin, types, capacity)
+	settings := testSettings()
+	settings.Capabilities = controller.Capabilities{Promises: true, PromiseFraction: 0.95}
+	return NewWorld(seed, controllers, settings, testCancelWithin, types, capacity)
 }
 
 // TestPromisesRandomDays plays random days with promises, and queries all jobs at all controllers.
@@ -180,131 +182,131 @@
 	for seed := range dayCount(t, 8, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newPromiseWorld(seed, 3+2*int(seed%2))
+			world := newPromiseWorld(seed, 3+2*int(seed%2))
 			if seed%3 == 1 {
-				w.duplicateRate = 0.03
+				world.duplicateRate = 0.03
 			}
 			if seed%3 == 2 {
-				w.lossRate, w.duplicateRate = 0.02, 0.02
+				world.lossRate, world.duplicateRate = 0.02, 0.02
 			}
-			w.trace = os.Getenv("MICAHILL_TRACE")
-			d := recordPromises(w)
-			w.schedule(20*time.Second, func() { d.queryAll(w.startedAt.Add(6 * time.Minute)) })
-			randomDay(w, seed)
-			reportViolations(t, append(w.Violations, d.check()...))
-			d.checkTotals(t)
-			t.Logf("%d answers, %d revised, writes %v", len(d.history), d.revised, d.writes)
-			if t.Failed() || w.trace != "" {
-				logTail(t, w.logs, len(w.logs))
+			world.trace = os.Getenv("MICAHILL_TRACE")
+			recorder := recordPromises(world)
+			world.schedule(20*time.Second, func() { recorder.queryAll(world.startedAt.Add(6 * time.Minute)) })
+			randomDay(world, seed)
+			reportViolations(t, append(world.Violations, recorder.check()...))
+			recorder.checkTotals(t)
+			t.Logf("%d answers, %d revised, writes %v", len(recorder.history), recorder.revised, recorder.writes)
+			if t.Failed() || world.trace != "" {
+				logTail(t, world.logs, len(world.logs))
 			}
 		})
 	}
 }
 
 // writesPromisePage reports whether an effect writes a page of promised dates.
-func writesPromisePage(e message.Effect) bool {
-	op, ok := e.(message.StoreRequest)
-	return ok && op.Kind == message.OpTxn && len(op.Writes) > 0 && strings.HasPrefix(op.Writes[0].Key, "open/~")
+func writesPromisePage(effect message.Effect) bool {
+	request, ok := effect.(message.StoreRequest)
+	return ok && request.Kind == message.OpTxn && len(request.Writes) > 0 && strings.HasPrefix(request.Writes[0].Key, "open/~")
 }
 
 // describe queries all jobs at all controllers and prints how many have a date, whether all answers are
 // alike, and what is wrong.
-func (d *promiseRecorder) describe(revised bool) string {
-	w := d.world
+func (recorder *promiseRecorder) describe(revised bool) string {
+	world := recorder.world
 	last := map[string]promiseValue{}
 	var out strings.Builder
-	answered := w.onAnswer
-	alike := true
-	w.onAnswer = func(asked time.Time, r message.UserReply) {
-		answered(asked, r)
-		x := promiseValue{r.PromiseRevision, r.PromisedAfter}
-		if was, there := last[r.ID]; r.Status == 200 && r.State != "cancelled" {
-			alike = alike && (!there || was == x)
-			last[r.ID] = x
+	onAnswer := world.onAnswer
+	equal := true
+	world.onAnswer = func(sentAt time.Time, reply message.UserReply) {
+		onAnswer(sentAt, reply)
+		value := promiseValue{reply.PromiseRevision, reply.PromisedAfter}
+		if previous, seen := last[reply.ID]; reply.Status == 200 && reply.State != "cancelled" {
+			equal = equal && (!seen || previous == value)
+			last[reply.ID] = value
 		}
 	}
-	d.queryAll(w.now)
-	w.Run(2500 * time.Millisecond)
-	w.onAnswer = answered
-	none := 0
+	recorder.queryAll(world.now)
+	world.Run(2500 * time.Millisecond)
+	world.onAnswer = onAnswer
+	undated := 0
 	for _, id := range sortedKeys(last) {
 		if last[id].revision == 0 {
-			none++
-		} else if last[id] != d.newest[id] {
-			fmt.Fprintf(&out, "%s is told %v, %v is durable\n", id, last[id], d.newest[id])
+			undated++
+		} else if last[id] != recorder.newest[id] {
+			fmt.Fprintf(&out, "%s is told %v, %v is durable\n", id, last[id], recorder.newest[id])
 		}
 	}
-	fmt.Fprintf(&out, "%d jobs, %d without a date, alike: %v", len(last), none, alike)
+	fmt.Fprintf(&out, "%d jobs, %d without a date, alike: %v", len(last), undated, equal)
 	if revised {
-		fmt.Fprintf(&out, ", revised: %v", d.revised > 0)
+		fmt.Fprintf(&out, ", revised: %v", recorder.revised > 0)
 	}
 	fmt.Fprintln(&out)
-	for _, x := range d.check() {
-		fmt.Fprintln(&out, x)
+	for _, violation := range recorder.check() {
+		fmt.Fprintln(&out, violation)
 	}
 	return out.String()
 }
 
 // checkTotals checks the stored totals against the ended jobs.
-func (d *promiseRecorder) checkTotals(t *testing.T) *promise.Totals {
+func (recorder *promiseRecorder) checkTotals(t *testing.T) *promise.Totals {
 	t.Helper()
-	row := d.world.state.records["promise/totals"]
-	if row == nil {
+	rec := recorder.world.state.records["promise/totals"]
+	if rec == nil {
 		t.Error("got no record promise/totals")
 		return nil
 	}
-	x, err := promise.DecodeTotals(row.value)
+	totals, err := promise.DecodeTotals(rec.value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended, made := 0, 0
-	for _, id := range sortedKeys(d.world.state.records) {
+	ended, promised := 0, 0
+	for _, id := range sortedKeys(recorder.world.state.records) {
 		if strings.HasPrefix(id, "job/") {
 			ended++
-			if strings.HasPrefix(id, "job/") && d.world.jobs[id[4:]].lastState == "done" && d.newest[id[4:]].revision > 0 {
-				made++
+			if strings.HasPrefix(id, "job/") && recorder.world.jobs[id[4:]].lastState == "done" && recorder.newest[id[4:]].revision > 0 {
+				promised++
 			}
 		}
 	}
-	s := x.Sum()
-	if s.Jobs != ended || s.Made != made || s.Kept+s.Broken != s.Made {
-		t.Errorf("got totals %+v, want %d jobs, %d with a date", s, ended, made)
+	sum := totals.Sum()
+	if sum.Jobs != ended || sum.Made != promised || sum.Kept+sum.Broken != sum.Made {
+		t.Errorf("got totals %+v, want %d jobs, %d with a date", sum, ended, promised)
 	}
-	t.Logf("totals %+v, ratio %.2f, first %d", s, x.MedianRatio(), x.PromisedAtAccept)
-	return x
+	t.Logf("totals %+v, ratio %.2f, first %d", sum, totals.MedianRatio(), totals.PromisedAtAccept)
+	return totals
 }
 
 // TestStalePromisesAreDetected checks that an answer with a job's first date after a later one was answered
 // is detected.
 func TestStalePromisesAreDetected(t *testing.T) {
 	for _, corrupted := range []bool{false, true} {
-		w := newPromiseWorld(3, 3)
-		d := recordPromises(w)
+		world := newPromiseWorld(3, 3)
+		recorder := recordPromises(world)
 		first := map[string]promiseValue{}
-		w.corruptEffect = func(e message.Effect) message.Effect {
-			r, ok := e.(message.UserReply)
-			if !ok || r.PromiseRevision == 0 {
-				return e
+		world.corruptEffect = func(effect message.Effect) message.Effect {
+			reply, ok := effect.(message.UserReply)
+			if !ok || reply.PromiseRevision == 0 {
+				return effect
 			}
-			x, there := first[r.ID]
-			if !there {
-				x = promiseValue{r.PromiseRevision, r.PromisedAfter}
-				first[r.ID] = x
+			value, seen := first[reply.ID]
+			if !seen {
+				value = promiseValue{reply.PromiseRevision, reply.PromisedAfter}
+				first[reply.ID] = value
 			}
-			if corrupted && w.rng.IntN(20) == 0 {
-				r.PromiseRevision, r.PromisedAfter = x.revision, x.after
+			if corrupted && world.rng.IntN(20) == 0 {
+				reply.PromiseRevision, reply.PromisedAfter = value.revision, value.after
 			}
-			return r
+			return reply
 		}
 		for i := range 4 {
-			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
+			world.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
 				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 70 * time.Second}, 300*time.Second, false)
 		}
-		d.queryAll(w.startedAt.Add(5 * time.Minute))
-		w.Run(8 * time.Minute)
-		found := d.check()
-		if d.revised == 0 || corrupted != (len(found) > 0) {
-			t.Errorf("corrupted %v: got %d revised, violations %v, want some revised, and violations only if corrupted", corrupted, d.revised, found)
+		recorder.queryAll(world.startedAt.Add(5 * time.Minute))
+		world.Run(8 * time.Minute)
+		found := recorder.check()
+		if recorder.revised == 0 || corrupted != (len(found) > 0) {
+			t.Errorf("corrupted %v: got %d revised, violations %v, want some revised, and violations only if corrupted", corrupted, recorder.revised, found)
 		}
 	}
 }
@@ -313,15 +315,15 @@
 // page's own mod revision, that each of the totals compares the leader record and its own, and that an earlier
 // one of these writes changes nothing if it is applied late. In the end the totals are exact.
 func TestPromiseWritesAreGuarded(t *testing.T) {
-	w := newPromiseWorld(6, 3)
-	d := recordPromises(w)
+	world := newPromiseWorld(6, 3)
+	recorder := recordPromises(world)
 	var writes []message.StoreRequest
-	w.corruptEffect = func(e message.Effect) message.Effect {
-		op, ok := e.(message.StoreRequest)
-		if !ok || len(op.Writes) == 0 {
-			return e
+	world.corruptEffect = func(effect message.Effect) message.Effect {
+		request, ok := effect.(message.StoreRequest)
+		if !ok || len(request.Writes) == 0 {
+			return effect
 		}
-		key := op.Writes[0].Key
+		key := request.Writes[0].Key
 		fence := ""
 		switch {
 		case strings.HasPrefix(key, "open/~"):
@@ -329,53 +331,53 @@
 		case key == "promise/totals":
 			fence = "ctl/lead"
 		default:
-			return e
+			return effect
 		}
-		own, fenced := false, false
-		for _, c := range op.Compares {
-			own = own || c.Key == key
-			fenced = fenced || strings.HasPrefix(c.Key, fence)
+		comparesOwnKey, comparesFence := false, false
+		for _, compare := range request.Compares {
+			comparesOwnKey = comparesOwnKey || compare.Key == key
+			comparesFence = comparesFence || strings.HasPrefix(compare.Key, fence)
 		}
-		if !own || !fenced || len(op.Writes) > 1 {
-			t.Errorf("write of %s: got compares %v, want its own key and %s", key, op.Compares, fence)
+		if !comparesOwnKey || !comparesFence || len(request.Writes) > 1 {
+			t.Errorf("write of %s: got compares %v, want its own key and %s", key, request.Compares, fence)
 		}
-		writes = append(writes, op)
-		return e
+		writes = append(writes, request)
+		return effect
 	}
 	for i := range 60 {
-		w.schedule(time.Duration(i)*4*time.Second, func() {
-			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: []string{"batch", "rush"}[i%2], Team: []string{"ops", "lab"}[i/2%2], Urgency: model.Normal, Tasks: 1 + i%5,
+		world.schedule(time.Duration(i)*4*time.Second, func() {
+			world.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: []string{"batch", "rush"}[i%2], Team: []string{"ops", "lab"}[i/2%2], Urgency: model.Normal, Tasks: 1 + i%5,
 				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, time.Duration(10+i%7*20)*time.Second, false)
 			if i%9 == 8 {
-				w.schedule(30*time.Second, func() { w.Cancel(fmt.Sprintf("job-%03d", i)) })
+				world.schedule(30*time.Second, func() { world.Cancel(fmt.Sprintf("job-%03d", i)) })
 			}
 		})
 	}
-	w.Run(2 * time.Minute)
-	w.CrashController(0, 3*time.Second)
-	w.Run(2 * time.Minute)
+	world.Run(2 * time.Minute)
+	world.CrashController(0, 3*time.Second)
+	world.Run(2 * time.Minute)
 	// The history is compacted, so controllers read everything again, and must count it once.
-	w.state.compactedRevision, w.state.changes = w.state.revision, nil
-	w.Run(6 * time.Minute)
-	w.state.limits = nil
-	for _, op := range writes {
-		if op.Compares[len(op.Compares)-1].ModRevision == 0 {
+	world.state.compactedRevision, world.state.changes = world.state.revision, nil
+	world.Run(6 * time.Minute)
+	world.state.limits = nil
+	for _, request := range writes {
+		if request.Compares[len(request.Compares)-1].ModRevision == 0 {
 			// This may create a removed page again, whose jobs have all ended.
 			continue
 		}
-		w.state.Do(w.now, op, func(done message.StoreResponse) {
-			if done.Status != message.StoreConflict {
-				t.Errorf("late write of %s: got status %v, want a conflict", op.Writes[0].Key, done.Status)
+		world.state.Do(world.now, request, func(response message.StoreResponse) {
+			if response.Status != message.StoreConflict {
+				t.Errorf("late write of %s: got status %v, want a conflict", request.Writes[0].Key, response.Status)
 			}
 		})
 	}
-	w.Run(30 * time.Second)
-	reportViolations(t, append(w.Violations, d.check()...))
-	if d.checkTotals(t); len(writes) < 10 {
+	world.Run(30 * time.Second)
+	reportViolations(t, append(world.Violations, recorder.check()...))
+	if recorder.checkTotals(t); len(writes) < 10 {
 		t.Errorf("got %d writes, want at least 10", len(writes))
 	}
-	if d.writes["page"] > 60 || d.writes["promise"] > 80 {
-		t.Errorf("got writes %v, want at most 60 of pages and 80 of promise records", d.writes)
+	if recorder.writes["page"] > 60 || recorder.writes["promise"] > 80 {
+		t.Errorf("got writes %v, want at most 60 of pages and 80 of promise records", recorder.writes)
 	}
 }
 
@@ -383,50 +385,50 @@
 // jobs run. No answer and no job is lost, jobs submitted without get a date, and while promises are off
 // no date is answered or written.
 func TestPromisesSwitchedOnAndOff(t *testing.T) {
-	w := newTestWorld(8)
-	d := recordPromises(w)
+	world := newTestWorld(8)
+	recorder := recordPromises(world)
 	submit := func(from, to int) {
 		for i := from; i < to; i++ {
-			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
+			world.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
 				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 		}
 	}
-	restartAll := func(on bool) {
-		w.settings.Capabilities = controller.Capabilities{Promises: on, PromiseFraction: 0.95}
-		for i := range w.controllers {
-			w.CrashController(i, 500*time.Millisecond)
-			w.Run(6 * time.Second)
+	restartAll := func(enabled bool) {
+		world.settings.Capabilities = controller.Capabilities{Promises: enabled, PromiseFraction: 0.95}
+		for i := range world.controllers {
+			world.CrashController(i, 500*time.Millisecond)
+			world.Run(6 * time.Second)
 		}
 	}
 	submit(0, 6)
-	w.Run(30 * time.Second)
-	if len(d.history) > 0 || d.writes["promise"] > 0 || d.writes["page"] > 0 {
-		t.Fatalf("promises off: got %d dated answers and writes %v, want none", len(d.history), d.writes)
+	world.Run(30 * time.Second)
+	if len(recorder.history) > 0 || recorder.writes["promise"] > 0 || recorder.writes["page"] > 0 {
+		t.Fatalf("promises off: got %d dated answers and writes %v, want none", len(recorder.history), recorder.writes)
 	}
 	restartAll(true)
 	submit(6, 10)
-	w.Run(10 * time.Second)
-	if len(d.newest) != 10 {
-		t.Errorf("got %d jobs with a date, want 10", len(d.newest))
+	world.Run(10 * time.Second)
+	if len(recorder.newest) != 10 {
+		t.Errorf("got %d jobs with a date, want 10", len(recorder.newest))
 	}
 	restartAll(false)
-	answers := len(d.history)
-	pages := d.writes["page"]
-	w.Run(30 * time.Second)
-	if len(d.history) > answers || d.writes["page"] > pages {
+	answers := len(recorder.history)
+	pages := recorder.writes["page"]
+	world.Run(30 * time.Second)
+	if len(recorder.history) > answers || recorder.writes["page"] > pages {
 		t.Error("promises off: got dates answered or written, want none")
 	}
 	restartAll(true)
-	w.Run(10 * time.Minute)
-	reportViolations(t, append(w.Violations, d.check()...))
-	for _, id := range sortedKeys(w.jobs) {
-		if w.jobs[id].lastState != "done" || w.jobs[id].promiseRevision == 0 {
-			t.Errorf("%s: got final state %q, date revision %d, want done with a date", id, w.jobs[id].lastState, w.jobs[id].promiseRevision)
+	world.Run(10 * time.Minute)
+	reportViolations(t, append(world.Violations, recorder.check()...))
+	for _, id := range sortedKeys(world.jobs) {
+		if world.jobs[id].lastState != "done" || world.jobs[id].promiseRevision == 0 {
+			t.Errorf("%s: got final state %q, date revision %d, want done with a date", id, world.jobs[id].lastState, world.jobs[id].promiseRevision)
 		}
 	}
-	for k := range w.state.records {
-		if strings.HasPrefix(k, "open/") {
-			t.Errorf("got record %s left, want it removed", k)
+	for key := range world.state.records {
+		if strings.HasPrefix(key, "open/") {
+			t.Errorf("got record %s left, want it removed", key)
 		}
 	}
 }
@@ -434,24 +436,24 @@
 // TestServicePromises checks that the date of a service is that by which all its replicas run. A known class
 // gets one at once, and keeps it once some were seen.
 func TestServicePromises(t *testing.T) {
-	w := newPromiseWorld(9, 3)
-	d := recordPromises(w)
+	world := newPromiseWorld(9, 3)
+	recorder := recordPromises(world)
 	for i := range 6 {
-		w.schedule(time.Duration(i)*40*time.Second, func() {
-			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "model", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 2,
+		world.schedule(time.Duration(i)*40*time.Second, func() {
+			world.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "model", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 2,
 				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Hour}, time.Hour, false)
 		})
 	}
-	w.Run(7 * time.Minute)
-	reportViolations(t, append(w.Violations, d.check()...))
-	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
-		up := time.Duration(0)
-		for _, at := range j.firstStarts {
-			up = max(up, at.Sub(j.submitted))
+	world.Run(7 * time.Minute)
+	reportViolations(t, append(world.Violations, recorder.check()...))
+	for _, id := range sortedKeys(world.jobs) {
+		job := world.jobs[id]
+		allRunningAfter := time.Duration(0)
+		for _, at := range job.firstStarts {
+			allRunningAfter = max(allRunningAfter, at.Sub(job.submitted))
 		}
-		if len(j.firstStarts) != 2 || j.promiseRevision == 0 || id > "job-002" && up > j.promised || id > "job-000" && !j.promisedAtFirst || j.promised > 5*time.Minute {
-			t.Errorf("%s: got all replicas running after %v, promised %v, revision %d, promised at once %v", id, up, j.promised, j.promiseRevision, j.promisedAtFirst)
+		if len(job.firstStarts) != 2 || job.promiseRevision == 0 || id > "job-002" && allRunningAfter > job.promised || id > "job-000" && !job.promisedAtFirst || job.promised > 5*time.Minute {
+			t.Errorf("%s: got all replicas running after %v, promised %v, revision %d, promised at once %v", id, allRunningAfter, job.promised, job.promiseRevision, job.promisedAtFirst)
 		}
 	}
 }
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -26,127 +26,127 @@
 }
 
 // arg returns an argument of a command, or def without it.
-func arg[T any](t *testing.T, d *datadriven.TestData, name string, def T) T {
-	if d.HasArg(name) {
-		d.ScanArgs(t, name, &def)
+func arg[T any](t *testing.T, command *datadriven.TestData, name string, fallback T) T {
+	if command.HasArg(name) {
+		command.ScanArgs(t, name, &fallback)
 	}
-	return def
+	return fallback
 }
 
 // durationArg returns an argument in seconds.
-func durationArg(t *testing.T, d *datadriven.TestData, name string, def float64) time.Duration {
-	return record.DurationOfSeconds(arg(t, d, name, def))
+func durationArg(t *testing.T, command *datadriven.TestData, name string, fallback float64) time.Duration {
+	return record.DurationOfSeconds(arg(t, command, name, fallback))
 }
 
 // submit submits the job that a command describes.
-func (s *scenario) submit(t *testing.T, d *datadriven.TestData) {
-	run := durationArg(t, d, "run", 20)
-	cpu := arg(t, d, "cpu", 2.0)
+func (scenario *scenario) submit(t *testing.T, command *datadriven.TestData) {
+	runTime := durationArg(t, command, "run", 20)
+	cpu := arg(t, command, "cpu", 2.0)
 	spec := model.JobSpec{
-		ID: arg(t, d, "id", ""), Workload: arg(t, d, "workload", "batch"), Team: arg(t, d, "team", "ops"),
-		LongRunning: d.HasArg("standing"), Gang: d.HasArg("gang"), Urgency: model.Urgency(arg(t, d, "urgency", 1)),
-		Tasks: arg(t, d, "tasks", 1), Need: model.Resources{CPU: cpu, Memory: cpu},
-		Image: arg(t, d, "image", "img-1"), ImageGB: 1, Zone: arg(t, d, "zone", ""),
-		SameZone: d.HasArg("same"), SpreadZones: d.HasArg("apart"), AllowSpot: d.HasArg("spot"),
-		ExpectedRunTime: durationArg(t, d, "expected", run.Seconds()), CheckpointInterval: durationArg(t, d, "save", 0), CheckpointCost: durationArg(t, d, "cost", 0),
-		Deadline: durationArg(t, d, "due", 0),
+		ID: arg(t, command, "id", ""), Workload: arg(t, command, "workload", "batch"), Team: arg(t, command, "team", "ops"),
+		LongRunning: command.HasArg("standing"), Gang: command.HasArg("gang"), Urgency: model.Urgency(arg(t, command, "urgency", 1)),
+		Tasks: arg(t, command, "tasks", 1), Need: model.Resources{CPU: cpu, Memory: cpu},
+		Image: arg(t, command, "image", "img-1"), ImageGB: 1, Zone: arg(t, command, "zone", ""),
+		SameZone: command.HasArg("same"), SpreadZones: command.HasArg("apart"), AllowSpot: command.HasArg("spot"),
+		ExpectedRunTime: durationArg(t, command, "expected", runTime.Seconds()), CheckpointInterval: durationArg(t, command, "save", 0), CheckpointCost: durationArg(t, command, "cost", 0),
+		Deadline: durationArg(t, command, "due", 0),
 	}
-	if f := arg(t, d, "flavour", ""); f != "" {
-		spec.MachineTypes = []string{f}
+	if machineType := arg(t, command, "flavour", ""); machineType != "" {
+		spec.MachineTypes = []string{machineType}
 	}
-	if needs := arg(t, d, "needs", ""); needs != "" {
-		spec.Dependencies = strings.Split(needs, "+")
+	if dependencies := arg(t, command, "needs", ""); dependencies != "" {
+		spec.Dependencies = strings.Split(dependencies, "+")
 	}
-	s.world.Submit(spec, run, d.HasArg("broken"))
+	scenario.world.Submit(spec, runTime, command.HasArg("broken"))
 }
 
 // shardLeaderNames returns the names of the controllers that lead a shard.
-func (s *scenario) shardLeaderNames() string {
-	var b strings.Builder
-	for _, p := range s.world.controllers {
-		if p.alive && p.controller.IsShardLeader() {
-			fmt.Fprintln(&b, p.name)
+func (scenario *scenario) shardLeaderNames() string {
+	var names strings.Builder
+	for _, process := range scenario.world.controllers {
+		if process.alive && process.controller.IsShardLeader() {
+			fmt.Fprintln(&names, process.name)
 		}
 	}
-	return b.String()
+	return names.String()
 }
 
 // describe prints the state of each job and the violations, which do not depend on where tasks run.
-func (s *scenario) describe() string {
-	var b strings.Builder
-	for _, id := range sortedKeys(s.world.jobs) {
-		j := s.world.jobs[id]
-		state := j.lastState
-		if j.refusedStatus != 0 {
-			state = fmt.Sprint(j.refusedStatus)
+func (scenario *scenario) describe() string {
+	var out strings.Builder
+	for _, id := range sortedKeys(scenario.world.jobs) {
+		job := scenario.world.jobs[id]
+		state := job.lastState
+		if job.refusedStatus != 0 {
+			state = fmt.Sprint(job.refusedStatus)
 		}
-		fmt.Fprintf(&b, "%s %s\n", id, state)
+		fmt.Fprintf(&out, "%s %s\n", id, state)
 	}
-	s.world.checkDependencyOutcomes()
-	for _, x := range s.world.Violations {
-		fmt.Fprintln(&b, "BROKEN", x)
+	scenario.world.checkDependencyOutcomes()
+	for _, violation := range scenario.world.Violations {
+		fmt.Fprintln(&out, "BROKEN", violation)
 	}
-	return b.String()
+	return out.String()
 }
 
 // TestScenarios runs the scenario files under testdata.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		t.Parallel()
-		s := &scenario{world: newTestWorld(1)}
-		s.world.trace = os.Getenv("MICAHILL_TRACE")
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			for _, run := range []func(*testing.T, *datadriven.TestData) (string, bool){s.runSetup, s.runUserCommand, s.runCheck} {
-				if out, ok := run(t, d); ok {
+		scenario := &scenario{world: newTestWorld(1)}
+		scenario.world.trace = os.Getenv("MICAHILL_TRACE")
+		datadriven.RunTest(t, path, func(t *testing.T, command *datadriven.TestData) string {
+			for _, runCommand := range []func(*testing.T, *datadriven.TestData) (string, bool){scenario.runSetup, scenario.runUserCommand, scenario.runCheck} {
+				if out, ok := runCommand(t, command); ok {
 					return out
 				}
 			}
-			d.Fatalf(t, "unknown command %s", d.Cmd)
+			command.Fatalf(t, "unknown command %s", command.Cmd)
 			return ""
 		})
-		if t.Failed() || s.world.trace != "" {
-			logTail(t, s.world.logs, len(s.world.logs))
+		if t.Failed() || scenario.world.trace != "" {
+			logTail(t, scenario.world.logs, len(scenario.world.logs))
 		}
 	})
 }
 
 // newWorld replaces the world by the one that a command describes.
-func (s *scenario) newWorld(t *testing.T, d *datadriven.TestData) {
-	seed, controllers := arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3)
-	s.world = newTestWorldOfSize(seed, controllers)
-	s.world.trace = os.Getenv("MICAHILL_TRACE")
-	if d.HasArg("lease") {
+func (scenario *scenario) newWorld(t *testing.T, command *datadriven.TestData) {
+	seed, controllers := arg(t, command, "seed", uint64(1)), arg(t, command, "nodes", 3)
+	scenario.world = newTestWorldOfSize(seed, controllers)
+	scenario.world.trace = os.Getenv("MICAHILL_TRACE")
+	if command.HasArg("lease") {
 		// Unless given, cancel_s is as much longer than the lease as in all deployments.
-		set := testSettings()
-		set.WorkerLease, set.HeartbeatInterval = durationArg(t, d, "lease", 0), durationArg(t, d, "lease", 0)/6
+		settings := testSettings()
+		settings.WorkerLease, settings.HeartbeatInterval = durationArg(t, command, "lease", 0), durationArg(t, command, "lease", 0)/6
 		types, capacity := testTypes()
-		s.world = NewWorld(seed, controllers, set, durationArg(t, d, "cancel", set.WorkerLease.Seconds()+30), types, capacity)
+		scenario.world = NewWorld(seed, controllers, settings, durationArg(t, command, "cancel", settings.WorkerLease.Seconds()+30), types, capacity)
 	}
-	if d.HasArg("ranking") {
-		s.world = newRankingWorld(seed, controllers)
+	if command.HasArg("ranking") {
+		scenario.world = newRankingWorld(seed, controllers)
 	}
-	if d.HasArg("promises") {
-		s.world = newPromiseWorld(seed, controllers)
-		s.promises = recordPromises(s.world)
+	if command.HasArg("promises") {
+		scenario.world = newPromiseWorld(seed, controllers)
+		scenario.promises = recordPromises(scenario.world)
 	}
 }
 
 // runSetup runs a command that sets the world up or disturbs it. It returns false if the command is
 // none.
-func (s *scenario) runSetup(t *testing.T, d *datadriven.TestData) (string, bool) {
-	switch d.Cmd {
+func (scenario *scenario) runSetup(t *testing.T, command *datadriven.TestData) (string, bool) {
+	switch command.Cmd {
 	case "world":
-		s.newWorld(t, d)
+		scenario.newWorld(t, command)
 	case "run":
-		s.world.Run(durationArg(t, d, "for", 10))
+		scenario.world.Run(durationArg(t, command, "for", 10))
 	case "fault":
-		return s.startFault(t, d), true
+		return scenario.startFault(t, command), true
 	case "skew":
-		s.world.controllers[arg(t, d, "node", 0)].clockSkew = durationArg(t, d, "by", 1)
+		scenario.world.controllers[arg(t, command, "node", 0)].clockSkew = durationArg(t, command, "by", 1)
 	case "twice":
-		s.world.duplicateRate = arg(t, d, "share", 0.5)
+		scenario.world.duplicateRate = arg(t, command, "share", 0.5)
 	case "rank":
-		return s.setRanking(t, d), true
+		return scenario.setRanking(t, command), true
 	default:
 		return "", false
 	}
@@ -154,29 +154,29 @@
 }
 
 // runUserCommand runs a command that sends requests of users. It returns false if the command is none.
-func (s *scenario) runUserCommand(t *testing.T, d *datadriven.TestData) (string, bool) {
-	switch d.Cmd {
+func (scenario *scenario) runUserCommand(t *testing.T, command *datadriven.TestData) (string, bool) {
+	switch command.Cmd {
 	case "flood":
-		flood(s.world, arg(t, d, "workload", "reprint"), arg(t, d, "jobs", 40), durationArg(t, d, "run", 10))
+		flood(scenario.world, arg(t, command, "workload", "reprint"), arg(t, command, "jobs", 40), durationArg(t, command, "run", 10))
 	case "submit":
-		s.submit(t, d)
+		scenario.submit(t, command)
 	case "many":
-		s.submitMany(t, d)
+		scenario.submitMany(t, command)
 	case "abort":
-		id, at := arg(t, d, "id", ""), milestone(arg(t, d, "at", ""))
-		first, many := arg(t, d, "node", 0), arg(t, d, "nodes", 0)
+		id, at := arg(t, command, "id", ""), milestone(arg(t, command, "at", ""))
+		firstController, controllerCount := arg(t, command, "node", 0), arg(t, command, "nodes", 0)
 		switch {
 		case at != "":
-			s.world.jobs[id].onMilestone(at, func() { s.world.CancelAt(id, first, max(1, many)) })
-		case many > 0:
-			s.world.CancelAt(id, first, many)
+			scenario.world.jobs[id].onMilestone(at, func() { scenario.world.CancelAt(id, firstController, max(1, controllerCount)) })
+		case controllerCount > 0:
+			scenario.world.CancelAt(id, firstController, controllerCount)
 		default:
-			s.world.Cancel(id)
+			scenario.world.Cancel(id)
 		}
 	case "ask":
-		s.world.QueryUnknownJob(arg(t, d, "id", ""))
+		scenario.world.QueryUnknownJob(arg(t, command, "id", ""))
 	case "repeat":
-		s.world.resubmit(s.world.jobs[arg(t, d, "id", "")])
+		scenario.world.resubmit(scenario.world.jobs[arg(t, command, "id", "")])
 	default:
 		return "", false
 	}
@@ -184,60 +184,60 @@
 }
 
 // submitMany submits small jobs with numbered names, except those that were submitted before.
-func (s *scenario) submitMany(t *testing.T, d *datadriven.TestData) {
-	for i := range arg(t, d, "jobs", 10) {
-		if s.world.jobs[fmt.Sprintf("job-m%03d", i)] != nil {
+func (scenario *scenario) submitMany(t *testing.T, command *datadriven.TestData) {
+	for i := range arg(t, command, "jobs", 10) {
+		if scenario.world.jobs[fmt.Sprintf("job-m%03d", i)] != nil {
 			continue
 		}
-		s.world.Submit(model.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 1 + i%4,
-			Need: model.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, AllowSpot: i%2 == 0, ExpectedRunTime: durationArg(t, d, "expected", 15)}, durationArg(t, d, "run", 15), false)
+		scenario.world.Submit(model.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 1 + i%4,
+			Need: model.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, AllowSpot: i%2 == 0, ExpectedRunTime: durationArg(t, command, "expected", 15)}, durationArg(t, command, "run", 15), false)
 	}
 }
 
 // runCheck runs a command that prints something of the world. It returns false if the command is none.
-func (s *scenario) runCheck(t *testing.T, d *datadriven.TestData) (string, bool) {
-	switch d.Cmd {
+func (scenario *scenario) runCheck(t *testing.T, command *datadriven.TestData) (string, bool) {
+	switch command.Cmd {
 	case "ranking":
-		out := s.describeRanking(t)
-		if d.HasArg("behind") {
+		out := scenario.describeRanking(t)
+		if command.HasArg("behind") {
 			_, out, _ = strings.Cut(out, "; ")
 		}
 		return out, true
 	case "left":
-		return s.describeUnfinished(), true
+		return scenario.describeUnfinished(), true
 	case "why":
-		return s.explainWaiting(arg(t, d, "id", "")), true
+		return scenario.explainWaiting(arg(t, command, "id", "")), true
 	case "dates":
-		return s.promises.describe(d.HasArg("revised")), true
+		return scenario.promises.describe(command.HasArg("revised")), true
 	case "until":
-		j, at := s.world.jobs[arg(t, d, "id", "")], milestone(arg(t, d, "is", ""))
-		if s.world.waitUntil(durationArg(t, d, "within", 300), func() bool { return j.hasReached(at) }) < 0 {
+		job, at := scenario.world.jobs[arg(t, command, "id", "")], milestone(arg(t, command, "is", ""))
+		if scenario.world.waitUntil(durationArg(t, command, "within", 300), func() bool { return job.hasReached(at) }) < 0 {
 			return "never\n", true
 		}
 		return "", true
 	case "show":
-		return s.describe(), true
+		return scenario.describe(), true
 	case "state":
-		return s.world.jobs[arg(t, d, "id", "")].lastState + "\n", true
+		return scenario.world.jobs[arg(t, command, "id", "")].lastState + "\n", true
 	case "live":
-		return fmt.Sprintf("%d\n", s.world.runningTasks(arg(t, d, "id", ""))), true
+		return fmt.Sprintf("%d\n", scenario.world.runningTasks(arg(t, command, "id", ""))), true
 	case "owner":
-		return s.shardLeaderNames(), true
+		return scenario.shardLeaderNames(), true
 	case "starts":
-		return fmt.Sprintf("%d\n", s.world.Starts), true
+		return fmt.Sprintf("%d\n", scenario.world.Starts), true
 	case "held":
-		return s.heldCommand.String(), true
+		return scenario.heldCommand.String(), true
 	case "on_deaf":
-		return fmt.Sprintf("%d\n", len(s.startedUnreachable)), true
+		return fmt.Sprintf("%d\n", len(scenario.startedUnreachable)), true
 	case "met":
 		// Whether the faults took effect.
-		return fmt.Sprintf("commands carried out late: %v, copies brought to a next leader: %v\n", s.world.lateCommandsDone > 0, s.world.heartbeatsReplayed > 0), true
+		return fmt.Sprintf("commands carried out late: %v, copies brought to a next leader: %v\n", scenario.world.lateCommandsDone > 0, scenario.world.heartbeatsReplayed > 0), true
 	case "lost":
-		return fmt.Sprintf("%d\n", s.world.LostToLease), true
+		return fmt.Sprintf("%d\n", scenario.world.LostToLease), true
 	case "machines":
 		rented := 0
-		for _, m := range s.world.machines {
-			if !m.dead && !m.released {
+		for _, machine := range scenario.world.machines {
+			if !machine.dead && !machine.released {
 				rented++
 			}
 		}
