--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -12,29 +12,29 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// deliverToAll delivers a heartbeat to every controller, and passes on their replies.
+// deliverToAll sends a heartbeat to every controller and passes each reply to onReply.
 func (world *World) deliverToAll(heartbeat model.Heartbeat, onReply func(message.HeartbeatReply)) {
 	for _, process := range world.controllers {
 		process.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat} }, func(effect message.Effect) { onReply(effect.(message.HeartbeatReply)) })
 	}
 }
 
-// TestOldHeartbeatAtEveryController holds back a heartbeat from before a task started, or while it ran,
-// and delivers it to all controllers when a new leader begins. It must prove nothing: a task that still
-// runs on a partitioned machine is not started again, and if it was cancelled it still counts against
-// the quota limit. It must not renew a lease either: a task of a dead machine restarts as soon as
-// without the heartbeat.
+// TestOldHeartbeatAtEveryController guards against a new leader that trusts an outdated heartbeat. All
+// controllers receive a machine's heartbeat from before a task started there, or from while the task
+// ran, just after the leaders crash. The task must not start a second time while it runs on a partitioned
+// machine, and must still count against the quota limit if it was cancelled. The heartbeat must not renew
+// the lease: a task of a dead machine restarts as soon as it does without the heartbeat.
 func TestOldHeartbeatAtEveryController(t *testing.T) {
-	// play returns the time from the crash of the shard leader to the next start, and how many
-	// copies of the heartbeat were answered.
+	// simulate delivers copies of the heartbeat after the delay, or none if the delay is 0. It returns
+	// the time from the crash of the shard leader to the next start, and the number of answered copies.
 	simulate := func(t *testing.T, beforeStart bool, fault string, delay time.Duration) (nextStart time.Duration, answered int) {
 		settings := testSettings()
 		settings.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 7}}}
 		world := newSmallWorld(5, settings)
-		// Two machines with free capacity for one of the small jobs each.
+		// These jobs keep two machines rented, each with free capacity for one of the small jobs below.
 		world.submitMany("f", "ops", 2, 1, 3, 3*time.Minute)
 		world.Run(45 * time.Second)
-		// Heartbeats of machines before the task is submitted.
+		// The heartbeat of each machine before the task is submitted.
 		var oldHeartbeats []model.Heartbeat
 		for _, machine := range world.fleet {
 			oldHeartbeats = append(oldHeartbeats, machine.heartbeat(world.now))
@@ -48,14 +48,15 @@
 		machine := machines[0]
 		i := slices.IndexFunc(oldHeartbeats, func(heartbeat model.Heartbeat) bool { return heartbeat.Machine == machine.ID })
 		if i < 0 {
-			t.Fatal("got the task on a machine that had sent no heartbeat before")
+			t.Fatal("got the task on a machine rented after the heartbeats were recorded, want it on an earlier one")
 		}
 		heartbeat := oldHeartbeats[i]
 		if !beforeStart {
 			heartbeat = machine.heartbeat(world.now)
 		}
 		world.Run(4 * time.Second)
-		// Without the cloud no release proves that the task has stopped, only its lease does.
+		// During a cloud outage no release of the machine proves that the task has stopped. Only the
+		// end of its lease does.
 		world.cloudOutage = true
 		world.schedule(80*time.Second, func() { world.cloudOutage = false })
 		switch fault {
@@ -74,7 +75,7 @@
 		world.CrashController(leader, 5*time.Second)
 		world.CrashController(shardLeader, 5*time.Second)
 		if delay > 0 {
-			// Three times, as a worker retries its heartbeat.
+			// Delivers three copies, since a worker retries its heartbeat.
 			for k := range 3 {
 				world.schedule(delay+time.Duration(k)*time.Second, func() { world.deliverToAll(heartbeat, func(message.HeartbeatReply) { answered++ }) })
 			}
@@ -96,14 +97,14 @@
 			}
 			for _, i := range sampleCases(len(delays), 4) {
 				delay := delays[i]
-				t.Run(fmt.Sprintf("before=%v %s %v", beforeStart, fault, delay), func(t *testing.T) {
+				t.Run(fmt.Sprintf("beforeStart=%v %s delay=%v", beforeStart, fault, delay), func(t *testing.T) {
 					t.Parallel()
 					nextStart, answered := simulate(t, beforeStart, fault, delay)
 					if answered < 4 {
-						t.Errorf("got %d answered copies, want at least 4", answered)
+						t.Errorf("got %d answered copies of the heartbeat, want at least 4", answered)
 					}
 					if nextStart > baseline+5*time.Second {
-						t.Errorf("got the next start after %v, want at most 5s more than without the old heartbeat, %v", nextStart, baseline)
+						t.Errorf("got the next start after %v, want it at most 5s later than without the old heartbeat, %v", nextStart, baseline)
 					}
 				})
 			}
@@ -111,8 +112,9 @@
 	}
 }
 
-// TestZoneBoundJobsLoseMachines runs jobs bound to one zone while half of the zone's machines die and
-// some others are partitioned.
+// TestZoneBoundJobsLoseMachines checks that jobs bound to one zone reach their right final state when half
+// of the zone's machines die and some of the others are partitioned. With odd seeds the shard leader
+// crashes too.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	for seed := range dayCount(t, 8, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -139,7 +141,7 @@
 				}
 			}
 			if lostTasks == 0 {
-				t.Fatal("got no tasks on the lost machines, want some")
+				t.Fatal("got no tasks on the machines that die, want some")
 			}
 			if seed%2 == 1 {
 				world.CrashController(world.shardLeaderOf("ops"), 5*time.Second)
@@ -151,30 +153,32 @@
 	}
 }
 
-// TestTenLeaderChanges crashes the current leader ten times in two minutes, with long, short or no outages
-// of the state service, while jobs are submitted and cancelled.
+// TestTenLeaderChanges checks that jobs end as requested when the current leader crashes ten times in two
+// minutes, with one long, several short or no outages of the state service, while jobs are cancelled.
 func TestTenLeaderChanges(t *testing.T) {
 	for _, outage := range []struct {
-		name       string
-		from, long time.Duration
-		every      time.Duration
-		// changes is the least number of changes of leadership.
-		changes int
+		name string
+		// firstAt is the start of the first outage, and interval the time from one start to the next.
+		// An interval of 0 means a single outage.
+		firstAt, duration time.Duration
+		interval          time.Duration
+		// minChanges is the smallest allowed number of changes of leadership.
+		minChanges int
 	}{
-		{"one of 60 s", 30 * time.Second, 60 * time.Second, 0, 5},
-		{"ten of 5 s", 2 * time.Second, 5 * time.Second, 12 * time.Second, 8},
-		{"none", 0, 0, 0, 10},
+		{"one outage of 60 s", 30 * time.Second, 60 * time.Second, 0, 5},
+		{"ten outages of 5 s", 2 * time.Second, 5 * time.Second, 12 * time.Second, 8},
+		{"no outage", 0, 0, 0, 10},
 	} {
 		for _, restartAfter := range []time.Duration{100 * time.Millisecond, 5 * time.Second} {
-			t.Run(fmt.Sprintf("%s back=%v", outage.name, restartAfter), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s restartAfter=%v", outage.name, restartAfter), func(t *testing.T) {
 				t.Parallel()
 				world := newTestWorldOfSize(3, 5)
 				cancelled := world.submitMany("c", "ops", 10, 2, 2, 10*time.Minute)
 				world.submitMany("x", "ops", 6, 2, 2, 90*time.Second)
 				world.Run(50 * time.Second)
-				if outage.long > 0 {
-					for k := 0; k == 0 || outage.every > 0 && k < 10; k++ {
-						world.schedule(outage.from+time.Duration(k)*outage.every, func() { world.Outage(outage.long) })
+				if outage.duration > 0 {
+					for k := 0; k == 0 || outage.interval > 0 && k < 10; k++ {
+						world.schedule(outage.firstAt+time.Duration(k)*outage.interval, func() { world.Outage(outage.duration) })
 					}
 				}
 				changes, leader, crashesInOutage := 0, world.leaderName(), 0
@@ -196,9 +200,9 @@
 					}
 				}
 				world.Run(4 * time.Minute)
-				t.Logf("%d changes of leadership, %d crashes inside an outage", changes, crashesInOutage)
-				if changes < outage.changes || crashesInOutage == 0 && outage.long > 0 {
-					t.Errorf("got %d changes of leadership, %d crashes inside an outage, want at least %d and, with outages, some", changes, crashesInOutage, outage.changes)
+				t.Logf("%d changes of leadership, %d crashes during an outage", changes, crashesInOutage)
+				if changes < outage.minChanges || crashesInOutage == 0 && outage.duration > 0 {
+					t.Errorf("got %d changes of leadership, %d crashes during an outage, want at least %d changes and, with outages, some crashes during one", changes, crashesInOutage, outage.minChanges)
 				}
 				for i, id := range sortedKeys(world.jobs) {
 					if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; world.jobs[id].lastState != want {
@@ -211,16 +215,18 @@
 	}
 }
 
-// minCancelWithin leaves hardly any margin above a worker lease.
+// minCancelWithin is a limit for the stop of cancelled jobs that is only 4 s longer than a worker lease
+// of 24 s.
 const minCancelWithin = 28 * time.Second
 
-// TestIsolatedLeaderWhileOthersCancel isolates a leader from the state service and the other controllers,
-// while users and its workers, some of which reach only it, still reach it. Jobs cancelled through the
-// new leader stop in time, and the former leader never answers that they run.
+// TestIsolatedLeaderWhileOthersCancel guards against a former leader that keeps cancelled jobs running or
+// answers that they run. The leader loses the state service and the other controllers, while users and
+// workers still reach it, and some workers reach no other controller. Jobs that are cancelled through
+// another controller must stop in time, and the former leader must never answer an older state.
 func TestIsolatedLeaderWhileOthersCancel(t *testing.T) {
 	for _, cancel := range []time.Duration{testCancelWithin, minCancelWithin} {
 		for _, wait := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, 20 * time.Second} {
-			t.Run(fmt.Sprintf("cancel=%v %v", cancel, wait), func(t *testing.T) {
+			t.Run(fmt.Sprintf("cancelWithin=%v wait=%v", cancel, wait), func(t *testing.T) {
 				t.Parallel()
 				types, capacity := testTypes()
 				world := NewWorld(2, 3, testSettings(), cancel, types, capacity)
@@ -228,9 +234,9 @@
 				world.Run(60 * time.Second)
 				former := world.shardLeaderOf("ops")
 				if world.leaderIndex(-1) != former {
-					t.Fatal("got a leader that is not the shard leader")
+					t.Fatal("got different controllers as leader and shard leader, want one controller as both")
 				}
-				// Without the cloud no release proves that tasks have stopped.
+				// During a cloud outage no release of a machine proves that its tasks have stopped.
 				const partitionDuration = 90 * time.Second
 				world.cloudOutage = true
 				world.schedule(partitionDuration, func() { world.cloudOutage = false })
@@ -257,7 +263,7 @@
 				}
 				world.Run(500 * time.Millisecond)
 				if running := world.runningTasks(ids[0]); running == 0 || world.jobs[ids[0]].cancelledAt.IsZero() {
-					t.Errorf("got %d running tasks when the cancellation is confirmed, want some", running)
+					t.Errorf("got %d running tasks 500ms after the cancellation, want some, and the cancellation confirmed", running)
 				}
 				for end := world.now.Add(80 * time.Second); world.now.Before(end); world.Run(time.Second) {
 					for _, id := range ids {
@@ -276,8 +282,9 @@
 	}
 }
 
-// partitionZone partitions the machines of a zone and one controller from everything else for d,
-// including machines that are rented meanwhile.
+// partitionZone partitions the machines of a zone together with one controller from everything else: the
+// zone's machines reach only that controller, and that controller reaches only those machines. This includes
+// machines that are rented before the duration ends.
 func (world *World) partitionZone(zone string, controller int, duration time.Duration, hold bool) {
 	until := world.now.Add(duration)
 	partitionMachine := func(machine *Worker) {
@@ -301,13 +308,15 @@
 	world.onRented = partitionMachine
 }
 
-// TestZonePartitionedWithController partitions a zone with the shard leader, or with another controller,
-// for longer than a worker lease, while some of the zone's jobs are cancelled and new ones come.
+// TestZonePartitionedWithController checks that a cancelled job stops in time and all jobs reach their right
+// final state when a zone and one controller, the shard leader or another, are partitioned from the rest for
+// longer than a worker lease. During the partition one of the zone's jobs is cancelled and new jobs
+// arrive. Messages across the partition are held back or lost.
 func TestZonePartitionedWithController(t *testing.T) {
 	for _, withShardLeader := range []bool{true, false} {
 		for _, duration := range []time.Duration{26 * time.Second, 90 * time.Second} {
 			for kind, cancel := range map[string]time.Duration{"held": testCancelWithin, "lost": testCancelWithin, "lost, no cloud": minCancelWithin} {
-				t.Run(fmt.Sprintf("owns=%v %v %s", withShardLeader, duration, kind), func(t *testing.T) {
+				t.Run(fmt.Sprintf("withShardLeader=%v %v %s", withShardLeader, duration, kind), func(t *testing.T) {
 					t.Parallel()
 					types, capacity := testTypes()
 					world := NewWorld(4, 3, testSettings(), cancel, types, capacity)
@@ -333,11 +342,12 @@
 					world.Cancel("job-z001")
 					world.Run(4 * time.Second)
 					if world.runningTasks("job-z001") == 0 {
-						t.Error("got the cancelled job stopped before any controller could reach its machines")
+						t.Error("got the cancelled job stopped 4s after its cancellation, want it running since no controller that knows of the cancellation reaches its machines")
 					}
 					world.submitMany("n", "ops", 3, 1, 2, 20*time.Second)
 					world.Run(duration)
-					// A shard leader in the zone still answers heartbeats until its grace period ends.
+					// A shard leader inside the zone answers heartbeats, and so renews leases, until its grace
+					// period ends. With it, only the longer partition makes tasks lose their leases.
 					if world.cloudOutage = false; world.LostToLease == 0 && kind == "lost, no cloud" && (!withShardLeader || duration > time.Minute) {
 						t.Error("got no task lost to its lease, want some")
 					}
@@ -351,8 +361,8 @@
 	}
 }
 
-// blockHeartbeats keeps the heartbeats of machines from all controllers for d, while direct commands
-// reach them and are answered.
+// blockHeartbeats drops the heartbeats of the machines on their way to all controllers for the duration.
+// Direct commands still reach the machines and are answered.
 func (world *World) blockHeartbeats(ids []string, duration time.Duration) {
 	until, send := world.now.Add(duration), world.heartbeatSender
 	world.heartbeatSender = func(machine *Worker) {
@@ -360,6 +370,7 @@
 			send(machine)
 			return
 		}
+		// The worker gives up after 4 s and tries the next controller 1 s later.
 		incarnation := machine.process
 		world.schedule(4*time.Second, func() {
 			if machine.process == incarnation {
@@ -369,13 +380,15 @@
 	}
 }
 
-// TestMachinesReachNoController has machines whose heartbeats are lost while direct commands reach them,
-// for less and for longer than a worker lease; jobs there are cancelled, and their shard leader crashes.
+// TestMachinesReachNoController checks that a cancelled job stops in time and tasks are lost to leases only
+// when they should be if heartbeats of machines are lost while direct commands still reach the machines. The
+// heartbeats are lost for less or for longer than a worker lease, and in half of the cases the shard
+// leader crashes.
 func TestMachinesReachNoController(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		for _, duration := range []time.Duration{15 * time.Second, 40 * time.Second, 90 * time.Second} {
 			for _, all := range []bool{false, true} {
-				t.Run(fmt.Sprintf("ends=%v %v all=%v", crash, duration, all), func(t *testing.T) {
+				t.Run(fmt.Sprintf("crash=%v %v all=%v", crash, duration, all), func(t *testing.T) {
 					t.Parallel()
 					world := newSmallWorld(6, testSettings())
 					ids := world.submitMany("x", "ops", 8, 2, 2, 2*time.Minute)
@@ -399,7 +412,7 @@
 					checkStoppedWithin(t, world, lastRun, maxStopTime)
 					world.Run(duration)
 					if len(blocked) < 2 || duration > time.Minute && world.LostToLease == 0 || duration < 24*time.Second && world.LostToLease > 0 {
-						t.Errorf("got %d tasks lost to leases on %d machines in %v, want some after a minute and none within a lease", world.LostToLease, len(blocked), duration)
+						t.Errorf("got %d tasks lost to leases, heartbeats of %d machines lost for %v, want at least 2 machines, some lost tasks after more than a minute and none within a lease", world.LostToLease, len(blocked), duration)
 					}
 					world.Run(6 * time.Minute)
 					checkFinalAnswers(t, world, true)
@@ -410,11 +423,13 @@
 	}
 }
 
-// TestCommandOfFormerLeader delays a command of a leader that then crashes. If it arrives before the
-// successor has reached the machine it is executed once and taken over, and afterwards it is refused.
+// TestCommandOfFormerLeader guards against a command that is executed twice, or executed too late, because a
+// crash of its shard leader overtakes it. If the delayed command arrives before the successor has reached
+// the machine, the machine executes the command once and the successor takes the task over. Afterwards
+// the machine refuses the command.
 func TestCommandOfFormerLeader(t *testing.T) {
 	var early, late atomic.Int64
-	t.Run("offsets", func(t *testing.T) {
+	t.Run("delays", func(t *testing.T) {
 		for _, kind := range []model.TaskCommandKind{model.StartTask, model.StopTask} {
 			delays := []float64{0.5, 1, 2, 3, 4, 4.5, 5, 5.5, 6, 7, 8, 10, 12, 16}
 			for _, i := range sampleCases(len(delays), 7) {
@@ -477,8 +492,8 @@
 			}
 		}
 	})
-	t.Logf("%d commands arrived before the successor's epoch, %d after", early.Load(), late.Load())
+	t.Logf("%d commands arrived before the successor had reached the machine, %d after", early.Load(), late.Load())
 	if early.Load() == 0 || late.Load() == 0 {
-		t.Errorf("got %d commands before the successor's epoch and %d after, want some of each", early.Load(), late.Load())
+		t.Errorf("got %d commands before the successor had reached the machine and %d after, want some of each", early.Load(), late.Load())
 	}
 }
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -14,7 +14,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// jobFate is the value of a job's register: what users may be answered about it.
+// jobFate is the value of a job's register: the state that users may be told about the job. Queued and
+// running jobs are both accepted.
 type jobFate string
 
 const (
@@ -24,8 +25,8 @@
 	cancelled jobFate = "cancelled"
 )
 
-// operationKind is an operation on a register. opEnd is the controllers' own: the job is done once the
-// state service has stored it.
+// operationKind is the kind of an operation on a job's register. Users send all kinds except opEnd, which
+// stands for the moment when the state service stores that the job is done.
 type operationKind string
 
 const (
@@ -35,20 +36,22 @@
 	opEnd    operationKind = "end"
 )
 
+// jobOperation is the input of an operation on a job's register.
 type jobOperation struct {
 	job  string
 	kind operationKind
 }
 
-// jobAnswer is the answer to an operation. The zero value means none: the request may take effect at
-// any later time, or never.
+// jobAnswer is the answer to an operation. The zero value means that there was no answer: the request may
+// take effect at any later time, or never.
 type jobAnswer struct {
 	status int
 	fate   jobFate
 }
 
-// jobModel is the linearizability model of a job as one register. A request without an answer, or
-// refused for now, ends at the end of time, where its effect is not seen.
+// jobModel is the linearizability model of a job as one register. A request that got no answer or a
+// temporary refusal never returns in the history, so the model may also place it after all other operations,
+// where no answer shows its effect.
 var jobModel = porcupine.Model{
 	Init: func() any { return unknown },
 	Step: func(state, input, output any) (bool, any) {
@@ -74,28 +77,33 @@
 	},
 }
 
-// concurrentReaders are users who query all controllers and resubmit their jobs within milliseconds
-// after they learn something new, or after something new was stored.
+// concurrentReaders simulates users who query all controllers and resubmit their jobs within milliseconds
+// after an answer shows a new fate of a job, or after the state service stores a change of the job.
 type concurrentReaders struct {
-	world      *World
-	rng        *rand.Rand
+	world *World
+	rng   *rand.Rand
+	// history has the operations on the register of each job, and newestFate the newest fate that
+	// users were told.
 	history    map[string][]porcupine.Operation
 	newestFate map[string]jobFate
-	// cancels are the jobs that are cancelled, by the fate on which their user does so.
+	// cancels has, for each job that its user cancels, the fate that makes the user send the
+	// cancellation.
 	cancels    map[string]jobFate
 	violations []string
-	// sentFate is the newest fate that an incarnation of a controller has answered about a job.
+	// sentFate has the newest fate that each incarnation of a controller has answered about each job.
 	sentFate map[string]jobFate
-	// bursts counts bursts by the fate that they followed, and unansweredCount the requests
-	// without an answer.
+	// bursts counts the bursts by the fate that they followed, and unansweredCount counts the
+	// requests without an answer by their kind.
 	bursts          map[jobFate]int
 	unansweredCount map[operationKind]int
 	*lostResponses
 }
 
-// readDelays are the delays of a burst's requests in milliseconds.
+// readDelays are the times in milliseconds after which a burst sends its requests.
 var readDelays = []time.Duration{0, 1, 2, 5, 20, 60, 150, 310}
 
+// newConcurrentReaders returns readers that see each change in the world's state service. No response of the
+// state service is lost until the readers' fraction of lost responses is set.
 func newConcurrentReaders(world *World, seed uint64) *concurrentReaders {
 	readers := &concurrentReaders{world: world, rng: rand.New(rand.NewPCG(seed, 37)), history: map[string][]porcupine.Operation{}, newestFate: map[string]jobFate{}, cancels: map[string]jobFate{}, sentFate: map[string]jobFate{},
 		bursts: map[jobFate]int{}, unansweredCount: map[operationKind]int{}}
@@ -104,7 +112,8 @@
 	return readers
 }
 
-// onChange sees each change of a record before any controller does.
+// onChange records the end of a job and starts a burst for each changed job record. The state service calls
+// it before any controller sees the change.
 func (readers *concurrentReaders) onChange(change message.KeyValue) {
 	id, isJob := strings.CutPrefix(change.Key, "job/")
 	var rec struct {
@@ -116,21 +125,23 @@
 	if now := readers.now(); rec.Status == done {
 		readers.add(porcupine.Operation{Input: jobOperation{id, opEnd}, Call: now, Output: jobAnswer{}, Return: now + 1})
 	}
-	// Users who happen to query just now.
+	// Users may happen to query at the moment of the change.
 	readers.burst(id, rec.Status)
 }
 
+// now returns the simulated time since the start of the world in nanoseconds.
 func (readers *concurrentReaders) now() int64 {
 	return readers.world.now.Sub(readers.world.startedAt).Nanoseconds()
 }
 
+// add appends an operation to the history of its job.
 func (readers *concurrentReaders) add(operation porcupine.Operation) {
 	id := operation.Input.(jobOperation).job
 	operation.ClientId = len(readers.history[id])
 	readers.history[id] = append(readers.history[id], operation)
 }
 
-// send sends one request to one controller.
+// send sends one request about a job to one controller and records the answer, or that there was none.
 func (readers *concurrentReaders) send(controller int, kind operationKind, id string) {
 	world, sentAt, finished := readers.world, readers.now(), false
 	timeout := 5 * time.Second
@@ -157,21 +168,21 @@
 		readers.noteFate(id, answer.fate)
 	}
 	world.schedule(timeout, func() { finish(message.UserReply{}) })
-	p := world.controllers[controller]
-	world.sendMessage("user", p.name, func() {
-		p.request(newCommand, func(e message.Effect) {
-			readers.onSend(p, id, e.(message.UserReply))
-			world.sendMessage(p.name, "user", func() { finish(e.(message.UserReply)) })
+	process := world.controllers[controller]
+	world.sendMessage("user", process.name, func() {
+		process.request(newCommand, func(effect message.Effect) {
+			readers.onSend(process, id, effect.(message.UserReply))
+			world.sendMessage(process.name, "user", func() { finish(effect.(message.UserReply)) })
 		})
 	})
 }
 
-// isDefinite reports whether an answer says something about the job.
+// isDefinite reports whether a reply states the job's fate, which a temporary refusal doesn't.
 func isDefinite(reply message.UserReply) bool {
 	return reply.Status == 200 || reply.Status == 201 || reply.Status == 404
 }
 
-// fateOf returns the fate that an answer says.
+// fateOf returns the fate that a definite reply states.
 func fateOf(reply message.UserReply) jobFate {
 	if reply.State == "queued" || reply.State == "running" {
 		return accepted
@@ -179,8 +190,8 @@
 	return jobFate(reply.State)
 }
 
-// onSend sees an answer leave a controller. The answers of one incarnation must never go back, not
-// even if they were requested in another order.
+// onSend checks a reply at the moment when it leaves a controller. The replies of one incarnation must never
+// go back from a final fate to accepted, even if the requests were sent in another order.
 func (readers *concurrentReaders) onSend(process *controllerProcess, id string, reply message.UserReply) {
 	if !isDefinite(reply) {
 		return
@@ -194,12 +205,13 @@
 	readers.sentFate[key] = fate
 }
 
-// unanswered records a request that may take effect later. If an earlier one of the kind is unanswered
-// too, or was answered before, it adds nothing to the history.
+// unanswered records a request without a definite reply, which may still take effect later, and retries a
+// submission or cancellation. If an earlier request of the same kind is unanswered too, or was answered before
+// this request was sent, this request adds nothing to the history.
 func (readers *concurrentReaders) unanswered(operation jobOperation, sentAt int64, reply message.UserReply) {
 	readers.unansweredCount[operation.kind]++
 	if reply.Status != 0 && reply.Status != 503 {
-		readers.violations = append(readers.violations, fmt.Sprintf("%s of %s: %d %s", operation.kind, operation.job, reply.Status, reply.Message))
+		readers.violations = append(readers.violations, fmt.Sprintf("%s of %s: got status %d, message %q", operation.kind, operation.job, reply.Status, reply.Message))
 	}
 	if operation.kind == opPoll {
 		return
@@ -214,7 +226,7 @@
 	readers.retryUntilAnswered(operation)
 }
 
-// retryUntilAnswered repeats an unanswered request until its effect is known.
+// retryUntilAnswered repeats an unanswered request until the users know its effect.
 func (readers *concurrentReaders) retryUntilAnswered(operation jobOperation) {
 	readers.world.schedule(readers.world.jitter(time.Second), func() {
 		if fate := readers.newestFate[operation.job]; operation.kind == opSubmit && fate == unknown || operation.kind == opCancel && fate == accepted {
@@ -223,7 +235,8 @@
 	})
 }
 
-// noteFate records the newest fate that was answered, and starts a burst if it is new.
+// noteFate records the newest fate that users were told, and starts a burst if the fate is new. A final fate
+// stays.
 func (readers *concurrentReaders) noteFate(id string, fate jobFate) {
 	if fate == unknown || fate == readers.newestFate[id] || readers.newestFate[id] == done || readers.newestFate[id] == cancelled {
 		return
@@ -232,7 +245,8 @@
 	readers.burst(id, fate)
 }
 
-// burst queries all controllers, and resubmits the job, within milliseconds.
+// burst queries all controllers and resubmits the job within milliseconds. It also sends the cancellation of
+// the job if the user cancels the job at this fate.
 func (readers *concurrentReaders) burst(id string, fate jobFate) {
 	readers.bursts[fate]++
 	for _, delay := range readDelays {
@@ -249,8 +263,8 @@
 	}
 }
 
-// addJob submits a job at a time, and cancels it after the fate cancelOn. Its user polls each second until
-// it has ended.
+// addJob submits a job after the delay at, and cancels the job once users are told the fate cancelOn, unless
+// cancelOn is unknown. The job's user polls about once a second until the job has ended.
 func (readers *concurrentReaders) addJob(at time.Duration, id string, run time.Duration, tasks int, cancelOn jobFate) {
 	spec := model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks,
 		Need: model.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
@@ -266,7 +280,7 @@
 	})
 }
 
-// readEverywhere polls a random controller each second until the job has ended.
+// readEverywhere polls a random controller about once a second until the job has ended.
 func (readers *concurrentReaders) readEverywhere(id string) {
 	if fate := readers.newestFate[id]; fate == done || fate == cancelled {
 		return
@@ -300,7 +314,8 @@
 	}
 }
 
-// run submits jobs one after the other, of which some are cancelled, with faults or without.
+// run submits jobs one after the other and cancels some of them. With faults, it starts a random fault every
+// five seconds and makes the state service lose 15% of its responses.
 func (readers *concurrentReaders) run(faults bool) {
 	const jobCount, interval = 24, 4 * time.Second
 	for i := range jobCount {
@@ -317,8 +332,9 @@
 	readers.world.Run(5 * time.Minute)
 }
 
-// dropImpliedReads returns a history without the reads that another one implies: what is read within a
-// shorter interval is read within a longer one too. Porcupine would try all their orders.
+// dropImpliedReads returns a history without the reads that another read implies: a read with the same answer
+// and a shorter interval inside the longer one proves that the longer read is possible. Without this,
+// Porcupine would try all orders of these reads.
 func dropImpliedReads(history []porcupine.Operation) []porcupine.Operation {
 	readAnswer := func(operation porcupine.Operation) (jobAnswer, bool) {
 		answer, kind := operation.Output.(jobAnswer), operation.Input.(jobOperation).kind
@@ -340,8 +356,9 @@
 	return out
 }
 
-// withSubmission adds the submission that took effect if none was answered so: its answer may leave
-// after the job was cancelled, and say that instead.
+// withSubmission adds a submission without an answer if no answer says that a submission created the job. The
+// reply to the submission that created the job may leave after the job was cancelled, and then says
+// cancelled instead.
 func withSubmission(history []porcupine.Operation) []porcupine.Operation {
 	firstCall := int64(math.MaxInt64)
 	for _, operation := range history {
@@ -356,7 +373,7 @@
 	return append(history, porcupine.Operation{ClientId: len(history), Input: jobOperation{id, opSubmit}, Call: firstCall, Output: jobAnswer{}, Return: math.MaxInt64})
 }
 
-// check returns all violations, with the jobs whose history is not linearizable.
+// check returns all violations, including one for each job whose history is not linearizable.
 func (readers *concurrentReaders) check() []string {
 	violations := readers.violations
 	for _, id := range sortedKeys(readers.history) {
@@ -367,10 +384,10 @@
 	return violations
 }
 
-// TestConcurrentReads has users query all controllers and resubmit jobs within milliseconds after, or
-// just when, a job is accepted, ends or is cancelled, while controllers crash and the state service
-// refuses requests, is slow, loses answers or applies writes late. No controller answers something
-// older: each job is one register.
+// TestConcurrentReads guards against a controller that answers an older state of a job than any controller
+// answered before. Users query all controllers and resubmit jobs at the moment when a job is accepted, ends or
+// is cancelled, and within milliseconds afterwards. Meanwhile controllers crash, and the state service refuses
+// requests, is slow, loses responses or applies writes late. Each job must behave as one register.
 func TestConcurrentReads(t *testing.T) {
 	for seed := range dayCount(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -392,15 +409,15 @@
 				}
 			}
 			if seed > 0 && (readers.lost["open"] == 0 || readers.unansweredCount[opSubmit] == 0) {
-				t.Errorf("got lost responses %v and unanswered requests %v, want some of open records and submissions", readers.lost, readers.unansweredCount)
+				t.Errorf("got lost responses %v and unanswered requests %v, want some lost responses about open records and some unanswered submissions", readers.lost, readers.unansweredCount)
 			}
 			t.Logf("%d answers, bursts %v, lost responses %v, unanswered %v", answers, readers.bursts, readers.lost, readers.unansweredCount)
 		})
 	}
 }
 
-// TestStaleAnswersAreDetected checks that the registers detect each corruption by which a controller
-// answers something older than was answered or stored before.
+// TestStaleAnswersAreDetected checks that jobModel detects each corruption by which a controller answers an
+// older state than was answered or stored before.
 func TestStaleAnswersAreDetected(t *testing.T) {
 	changeReply := func(effect message.Effect, change func(*message.UserReply)) message.Effect {
 		if userReply, ok := effect.(message.UserReply); ok {
@@ -427,7 +444,7 @@
 		"not corrupted": nil,
 		"polls are answered from a stale watch cache": func(effect message.Effect) message.Effect {
 			if request, ok := effect.(message.StoreRequest); ok && request.Kind == message.OpWatch && request.WatchTimeout == 0 && request.Key == "open/" {
-				// The watch goes on and brings no changes.
+				// Watches a prefix without records, so that the watch goes on but brings no changes.
 				request.Key = "none/"
 				return request
 			}
