--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -332,9 +332,8 @@
 	readers.world.Run(5 * time.Minute)
 }
 
-// dropImpliedReads returns a history without the reads that another read implies: a read with the same answer
-// and a shorter interval inside the longer one proves that the longer read is possible. Without this,
-// Porcupine would try all orders of these reads.
+// dropImpliedReads returns a history without implied reads, since Porcupine would try all their orders. A read
+// implies another read with the same answer if its interval lies within the interval of the other read.
 func dropImpliedReads(history []porcupine.Operation) []porcupine.Operation {
 	readAnswer := func(operation porcupine.Operation) (jobAnswer, bool) {
 		answer, kind := operation.Output.(jobAnswer), operation.Input.(jobOperation).kind
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -11,14 +11,15 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// dependentJob returns a job with dependencies.
+// dependentJob returns a batch job of team ops that depends on other jobs.
 func dependentJob(id string, tasks int, runTime time.Duration, dependencies ...string) model.JobSpec {
 	spec := batchJob(id, "ops", tasks, 1, runTime)
 	spec.Dependencies = dependencies
 	return spec
 }
 
-// submitChain submits jobs a, b and c one after the other, each of which needs the one before it.
+// submitChain submits jobs a, b and c, each after the acceptance of the previous one. Job b depends on a, and
+// c on b.
 func (world *World) submitChain(runTime time.Duration) (jobA, jobB, jobC *userJob) {
 	jobA = newUserJob(dependentJob("job-00000a", 2, runTime), runTime)
 	jobB = newUserJob(dependentJob("job-00000b", 2, runTime, "job-00000a"), runTime)
@@ -29,7 +30,7 @@
 	return jobA, jobB, jobC
 }
 
-// corruptReplies changes the answers to users about a job.
+// corruptReplies returns a corruption that applies change to each reply to users about a job.
 func corruptReplies(id string, change func(*message.UserReply)) func(message.Effect) message.Effect {
 	return func(effect message.Effect) message.Effect {
 		if reply, ok := effect.(message.UserReply); ok && reply.ID == id {
@@ -40,8 +41,8 @@
 	}
 }
 
-// startEarly adds the start of a job's first task to the first commands for any machine, and drops all
-// commands that stop it.
+// startEarly returns a corruption that starts a job's first task before its dependencies are done: it adds the
+// start to the first commands for any machine, and drops all commands that stop tasks of the job.
 func startEarly(id string) func(message.Effect) message.Effect {
 	start, startsLeft := model.TaskCommand{Kind: model.StartTask, Job: id, Attempt: 99}, 1
 	addStart := func(commands []model.TaskCommand) []model.TaskCommand {
@@ -65,14 +66,14 @@
 	}
 }
 
-// TestPipelineChecksDetectCorruption checks that each checker of pipelines fails on a corrupted controller, and none
-// on a correct one.
+// TestPipelineChecksDetectCorruption checks that each check of dependencies reports a corrupted controller, and
+// that none reports a correct controller. Job a of a chain is cancelled in some cases.
 func TestPipelineChecksDetectCorruption(t *testing.T) {
 	const idA, idB, idC = "job-00000a", "job-00000b", "job-00000c"
 	for _, test := range []struct {
 		name, rule string
-		// corrupt changes the effects of the controllers: from the milestone of job a at which it
-		// is cancelled, or from the start if it is not.
+		// corrupt returns the change of the controllers' effects. It applies from the start, or from
+		// the milestone of job a named by at. At that milestone job a is cancelled.
 		corrupt func(*World) func(message.Effect) message.Effect
 		at      milestone
 	}{
@@ -80,14 +81,14 @@
 		{"not corrupted, cancelled", "", nil, milestoneAccepted},
 		{"not corrupted, cancelled at the end", "", nil, milestoneTasksDone},
 		{"a dependent starts early", "too_early", func(*World) func(message.Effect) message.Effect { return startEarly(idC) }, ""},
-		{"a dependent is answered as queued for ever", RuleOrphaned, func(*World) func(message.Effect) message.Effect {
+		{"a cancelled dependent is answered as queued for ever", RuleOrphaned, func(*World) func(message.Effect) message.Effect {
 			return corruptReplies(idC, func(reply *message.UserReply) {
 				if reply.State == "cancelled" {
 					reply.State = "queued"
 				}
 			})
 		}, milestoneAccepted},
-		{"a dependent is answered as queued a moment too long", RuleOrphaned, func(world *World) func(message.Effect) message.Effect {
+		{"a cancelled dependent is answered as queued a few seconds too long", RuleOrphaned, func(world *World) func(message.Effect) message.Effect {
 			until := world.now.Add(world.cancelWithin + 8*time.Second)
 			return corruptReplies(idC, func(reply *message.UserReply) {
 				if reply.State == "cancelled" && world.now.Before(until) {
@@ -95,7 +96,7 @@
 				}
 			})
 		}, milestoneAccepted},
-		{"a dependent goes back to queued", "went_back", func(world *World) func(message.Effect) message.Effect {
+		{"a cancelled dependent is answered as queued again later", "went_back", func(world *World) func(message.Effect) message.Effect {
 			from := world.now.Add(40 * time.Second)
 			return corruptReplies(idC, func(reply *message.UserReply) {
 				if reply.State == "cancelled" && world.now.After(from) {
@@ -103,7 +104,7 @@
 				}
 			})
 		}, milestoneAccepted},
-		{"a dependent is answered as cancelled without a cause", "went_back", func(*World) func(message.Effect) message.Effect {
+		{"a dependent is answered as cancelled though no job was cancelled", "went_back", func(*World) func(message.Effect) message.Effect {
 			return corruptReplies(idC, func(reply *message.UserReply) { reply.State = "cancelled" })
 		}, ""},
 		{"a dependent of a cancelled job is answered as done", "not_done", func(*World) func(message.Effect) message.Effect {
@@ -123,7 +124,7 @@
 			world := newTestWorld(3)
 			world.faultsEndAt = world.startedAt
 			jobA, jobB, jobC := world.submitChain(15 * time.Second)
-			// This job keeps enough machines rented for all.
+			// This job keeps enough machines rented for the whole chain.
 			world.Submit(batchJob("job-000001", "ops", 4, 2, time.Hour), time.Hour, false)
 			if test.corrupt != nil && test.at == "" {
 				world.corruptEffect = test.corrupt(world)
@@ -153,9 +154,9 @@
 	}
 }
 
-// TestPipelineSubmissions checks that a job which names an unknown job, itself, or one twice is refused for
-// good; that a resubmission is recognized, whatever became of the dependencies; and that a job which
-// names a cancelled one is accepted and cancelled with it.
+// TestPipelineSubmissions checks how controllers answer submissions of dependent jobs. A job that depends on an
+// unknown job, on itself or twice on the same job is refused permanently. A resubmission is recognized in every
+// state of the dependencies. A job that depends on a cancelled job is accepted and cancelled without a start.
 func TestPipelineSubmissions(t *testing.T) {
 	world := newTestWorld(5)
 	jobA, jobB, jobC := world.submitChain(10 * time.Second)
@@ -176,7 +177,7 @@
 		}
 	}
 	if world.waitUntil(5*time.Minute, func() bool { return jobC.lastState == "done" }) < 0 || jobA.lastState != "done" || jobB.lastState != "done" {
-		t.Errorf("got final states %q, %q, %q, want done", jobA.lastState, jobB.lastState, jobC.lastState)
+		t.Errorf("got final states %q, %q, %q, want done for all", jobA.lastState, jobB.lastState, jobC.lastState)
 	}
 	jobD := newUserJob(dependentJob("job-00000d", 1, 10*time.Second, jobA.spec.ID, jobC.spec.ID), 10*time.Second)
 	world.submitJob(jobD)
@@ -190,7 +191,7 @@
 	world.submitJob(jobF)
 	world.Run(world.cancelWithin)
 	if jobD.lastState != "done" || jobE.lastState != "cancelled" || jobF.lastState != "cancelled" || len(jobF.firstStarts) > 0 {
-		t.Errorf("got final states %q, %q, %q, want done, cancelled, cancelled", jobD.lastState, jobE.lastState, jobF.lastState)
+		t.Errorf("got final states %q, %q, %q, want done, cancelled, cancelled, and no start of the last job", jobD.lastState, jobE.lastState, jobF.lastState)
 	}
 	for _, job := range []*userJob{jobA, jobB, jobC, jobD, jobE, jobF} {
 		for range 4 {
@@ -202,8 +203,9 @@
 	checkNoViolations(t, world)
 }
 
-// TestPipelineCancelledAtTheEnd cancels the first job of a chain around the end of its last task, at one or
-// several controllers. It ends one way, and all its dependents the same.
+// TestPipelineCancelledAtTheEnd guards against a chain whose jobs disagree about a cancellation. The first job is
+// cancelled within 64 ms around the end of its last task, at one to three controllers. It may end as done or
+// cancelled, and all its dependents must end in the same state.
 func TestPipelineCancelledAtTheEnd(t *testing.T) {
 	world := newTestWorldOfSize(7, 3)
 	first, _, _ := world.submitChain(10 * time.Second)
@@ -217,24 +219,24 @@
 			offset := time.Duration(step-16) * 4 * time.Millisecond
 			world.schedule(end+offset, func() { world.CancelAt(jobA.spec.ID, controller, 1+step%3) })
 			if world.waitUntil(5*time.Minute, func() bool { return isFinal(jobA.lastState) && isFinal(jobB.lastState) && isFinal(jobC.lastState) }) < 0 {
-				t.Errorf("%v node-%d: got states %q, %q, %q, want final ones", offset, controller, jobA.lastState, jobB.lastState, jobC.lastState)
+				t.Errorf("offset %v, node-%d: got states %q, %q, %q after 5m, want final ones", offset, controller, jobA.lastState, jobB.lastState, jobC.lastState)
 			}
 			world.Run(world.cancelWithin)
 			world.checkDependencyOutcomes()
 			if jobA.lastState != jobB.lastState || jobB.lastState != jobC.lastState || len(world.Violations) > 0 {
-				t.Errorf("%v node-%d: got final states %q, %q, %q, violations %v, want equal states and none", offset, controller, jobA.lastState, jobB.lastState, jobC.lastState, world.Violations)
+				t.Errorf("offset %v, node-%d: got final states %q, %q, %q, violations %v, want equal states and no violations", offset, controller, jobA.lastState, jobB.lastState, jobC.lastState, world.Violations)
 			}
 			outcomes[jobA.lastState]++
 		}
 	}
 	t.Log(outcomes)
 	if outcomes["done"] == 0 || outcomes["cancelled"] == 0 {
-		t.Errorf("got ends %v, want some done and some cancelled", outcomes)
+		t.Errorf("got final states %v, want some done and some cancelled", outcomes)
 	}
 }
 
-// TestPipelineDays plays a few random days with pipelines. Many more are played by micahill-lab days
-// --pipelines.
+// TestPipelineDays checks for violations and starved jobs on a few random days with pipelines. The command
+// micahill-lab days --pipelines simulates many more.
 func TestPipelineDays(t *testing.T) {
 	for seed := range dayCount(t, 5, 2) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
@@ -250,8 +252,8 @@
 	}
 }
 
-// TestPipelineDaysDetectCorruption checks that the checkers of a day detect a controller that ignores dependencies, and
-// one that hides cancellations of dependents.
+// TestPipelineDaysDetectCorruption checks that the checks of a day detect a controller that ignores
+// dependencies, and a controller that hides cancellations of dependents.
 func TestPipelineDaysDetectCorruption(t *testing.T) {
 	day := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, HotFactor: 1, FaultCount: -1, Pipelines: true})
 	for _, test := range []struct {
@@ -288,9 +290,10 @@
 	}
 }
 
-// TestPipelineBounds checks that, within 4 KiB of a value and 12 writes of a transaction, a job with a thousand
-// dependencies and the last of a long chain start when all are done, and that another such job is cancelled
-// with one of them. No request is malformed.
+// TestPipelineBounds guards against large pipelines that exceed the state service's limits of 4 KiB for a value
+// and 12 writes for a transaction. A job with 1000 dependencies and the last job of a chain of 200 must start
+// once their dependencies are done. Another job with 1001 dependencies must be cancelled with one of them.
+// No request may be malformed.
 func TestPipelineBounds(t *testing.T) {
 	const dependencyCount, chainLength = 1000, 200
 	world := newSmallWorld(9, testSettings())
@@ -325,18 +328,19 @@
 	world.CancelAt(cancelledDependency.spec.ID, 0, 2)
 	world.Run(20 * time.Minute)
 	if join.lastState != "done" || dependent.lastState != "cancelled" || previous.lastState != "done" {
-		t.Errorf("got final states %q, %q, %q, want done, cancelled, done; the last but one of the chain has %d tasks done", join.lastState, dependent.lastState, previous.lastState, len(previous.dependencies[0].doneTasks))
+		t.Errorf("got final states %q, %q, %q, want done, cancelled, done; the last but one job of the chain has %d tasks done", join.lastState, dependent.lastState, previous.lastState, len(previous.dependencies[0].doneTasks))
 	}
 	if world.state.Malformed > 0 {
-		t.Errorf("got %d malformed requests, the last for %s, want none", world.state.Malformed, world.state.LastMalformed)
+		t.Errorf("got %d malformed requests to the state service, the last for %s, want none", world.state.Malformed, world.state.LastMalformed)
 	}
 	world.checkDependencyOutcomes()
 	checkNoViolations(t, world)
 }
 
-// TestReleaseNeedsStoredEnd checks that while the record that a job is done cannot be written, no dependent
-// starts, though all tasks of the job are done and its shard leader knows; also if all controllers crash
-// meanwhile. Once it is written, all go on.
+// TestReleaseNeedsStoredEnd guards against a dependent that starts before the end of its dependency is stored.
+// The state service refuses the write that the job is done, while all tasks of the job are done and its shard
+// leader knows this. No dependent may start meanwhile, also if all controllers crash. Once the write
+// succeeds, the dependents must run.
 func TestReleaseNeedsStoredEnd(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		world := newTestWorld(11)
@@ -352,7 +356,7 @@
 			return effect
 		}
 		if world.waitUntil(2*time.Minute, func() bool { return !jobA.tasksDoneAt.IsZero() }) < 0 {
-			t.Fatal("got job a not ended within 2m")
+			t.Fatal("got unfinished tasks of job a after 2m, want all done")
 		}
 		world.Run(5 * time.Second)
 		if crash {
@@ -362,27 +366,27 @@
 		}
 		world.Run(time.Minute)
 		if len(jobB.firstStarts) > 0 || refused < 2 || jobA.lastState == "done" {
-			t.Errorf("got %d tasks of the dependent started, %d writes refused, state %q, want none, at least 2 and not done", len(jobB.firstStarts), refused, jobA.lastState)
+			t.Errorf("got %d tasks of the dependent started, %d writes refused, state %q of job a, want none, at least 2 and not done", len(jobB.firstStarts), refused, jobA.lastState)
 		}
 		allowWrite = true
 		world.Run(3 * time.Minute)
 		if jobC.lastState != "done" {
-			t.Errorf("got final states %q, %q, %q, want done", jobA.lastState, jobB.lastState, jobC.lastState)
+			t.Errorf("got final states %q, %q, %q, want done for all", jobA.lastState, jobB.lastState, jobC.lastState)
 		}
 		checkNoViolations(t, world)
 	}
 }
 
-// TestStoredEndIsChecked checks that a start before the end of a dependency is stored is a violation, though
-// all its tasks are done.
+// TestStoredEndIsChecked checks that checkDependencies reports a start of a dependent after all tasks of the
+// dependency are done but before the state service has stored its end.
 func TestStoredEndIsChecked(t *testing.T) {
 	world := newTestWorld(3)
 	jobA, jobB, _ := world.submitChain(10 * time.Second)
 	if world.waitUntil(2*time.Minute, func() bool { return !jobA.tasksDoneAt.IsZero() }) < 0 {
-		t.Fatal("got job a not ended within 2m")
+		t.Fatal("got unfinished tasks of job a after 2m, want all done")
 	}
 	world.checkDependencies(jobB, jobB.spec.ID)
 	if found := strings.Join(world.Violations, " "); !strings.Contains(found, "is stored") {
-		t.Errorf("got violations %q, want one that the end is not stored", found)
+		t.Errorf("got violations %q, want one about an end that is not stored", found)
 	}
 }
--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -15,56 +15,65 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// promiseValue is the value of the register of a promised date. The zero value means none.
+// promiseValue is the value of the register of a job's promised date: the revision, and the date as a time
+// after the submission. The zero value means that the job has no date.
 type promiseValue struct {
 	revision int
 	after    time.Duration
 }
 
-// promiseModel is the linearizability model of a job's promised date as one register: the state service
-// writes it, and every answer with a date reads it. An answer may have none.
+// promiseModel is the linearizability model of a job's promised date as one register. Each stored date is a
+// write, and each answer with a date is a read. An answer without a date is not part of the history.
 var promiseModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-		by := map[string][]porcupine.Operation{}
-		for _, o := range history {
-			by[o.Input.(promiseOperation).job] = append(by[o.Input.(promiseOperation).job], o)
+		byJob := map[string][]porcupine.Operation{}
+		for _, operation := range history {
+			byJob[operation.Input.(promiseOperation).job] = append(byJob[operation.Input.(promiseOperation).job], operation)
 		}
 		var out [][]porcupine.Operation
-		for _, id := range sortedKeys(by) {
-			out = append(out, by[id])
+		for _, id := range sortedKeys(byJob) {
+			out = append(out, byJob[id])
 		}
 		return out
 	},
 	Init: func() any { return promiseValue{} },
 	Step: func(state, input, output any) (bool, any) {
-		if x := input.(promiseOperation); x.write.revision > 0 {
-			return true, x.write
+		if operation := input.(promiseOperation); operation.write.revision > 0 {
+			return true, operation.write
 		}
 		return output.(promiseValue) == state.(promiseValue), state
 	},
 }
 
-// promiseOperation is a write of a date, or a read if write is zero.
+// promiseOperation is the input of an operation on a promised date: a write of the date, or a read if write
+// is zero.
 type promiseOperation struct {
 	job   string
 	write promiseValue
 }
 
-// promiseRecorder records the promised dates of a world: when they were stored, and when answered.
+// promiseRecorder records when the state service of a world stored promised dates and when controllers
+// answered with them.
 type promiseRecorder struct {
-	world      *World
-	history    []porcupine.Operation
+	world   *World
+	history []porcupine.Operation
+	// newest has the newest stored date of each job, and issuedAt the time when it was stored.
 	newest     map[string]promiseValue
 	issuedAt   map[string]time.Time
 	violations []string
-	writes     map[string]int
-	revised    int
+	// writes counts the changes of records by the first part of their key, and the changes of pages of
+	// dates under "page".
+	writes map[string]int
+	// revised counts the stored dates that replace an earlier date.
+	revised int
 }
 
+// since returns the time from the start of the world to t in nanoseconds.
 func (recorder *promiseRecorder) since(t time.Time) int64 {
 	return t.Sub(recorder.world.startedAt).Nanoseconds()
 }
 
+// recordPromises returns a recorder of the dates that are stored and answered in the world from this call on.
 func recordPromises(world *World) *promiseRecorder {
 	recorder := &promiseRecorder{world: world, newest: map[string]promiseValue{}, issuedAt: map[string]time.Time{}, writes: map[string]int{}}
 	world.state.onChange = recorder.onChange
@@ -76,16 +85,17 @@
 	return recorder
 }
 
-// onStored records that a date was stored. Revisions count up by one, at most once a minute.
+// onStored records that a date was stored. It is a violation if the revision grows by more than one, if the
+// date changes without a new revision, or if a new revision follows within a minute.
 func (recorder *promiseRecorder) onStored(id string, value promiseValue) {
 	previous := recorder.newest[id]
 	switch {
 	case value.revision < previous.revision || value == previous || value.revision == 0:
 		return
 	case value.revision == previous.revision || value.revision > previous.revision+1:
-		recorder.violations = append(recorder.violations, fmt.Sprintf("%s: %v after %v", id, value, previous))
+		recorder.violations = append(recorder.violations, fmt.Sprintf("%s: stored date %v after %v, want the next revision", id, value, previous))
 	case previous.revision > 0 && recorder.world.now.Sub(recorder.issuedAt[id]) < time.Minute:
-		recorder.violations = append(recorder.violations, fmt.Sprintf("%s: %v only %v after %v", id, value, recorder.world.now.Sub(recorder.issuedAt[id]), previous))
+		recorder.violations = append(recorder.violations, fmt.Sprintf("%s: stored date %v only %v after %v, want at least 1m", id, value, recorder.world.now.Sub(recorder.issuedAt[id]), previous))
 	}
 	if value.revision > 1 {
 		recorder.revised++
@@ -95,6 +105,8 @@
 	recorder.history = append(recorder.history, porcupine.Operation{ClientId: len(recorder.history), Input: promiseOperation{id, value}, Call: at, Output: promiseValue{}, Return: at + 1})
 }
 
+// onChange counts a changed record, and records the dates that the record holds: a page of dates, an open
+// record with a first date, or the record of an ended job with the final date.
 func (recorder *promiseRecorder) onChange(change message.KeyValue) {
 	recorder.writes[strings.SplitN(change.Key, "/", 2)[0]]++
 	if change.Deleted {
@@ -126,14 +138,14 @@
 		id := change.Key[len("job/"):]
 		if msgpack.Unmarshal(change.Value, &rec) == nil && rec.Rev > 0 {
 			if rec.Rev < recorder.newest[id].revision {
-				recorder.violations = append(recorder.violations, fmt.Sprintf("%s: got final revision %d after %v", id, rec.Rev, recorder.newest[id]))
+				recorder.violations = append(recorder.violations, fmt.Sprintf("%s: got final revision %d after stored date %v", id, rec.Rev, recorder.newest[id]))
 			}
 			recorder.onStored(id, promiseValue{rec.Rev, milliseconds(rec.P)})
 		}
 	}
 }
 
-// check returns all violations, with jobs whose dates are not linearizable.
+// check returns all violations, including one for each job whose dates are not linearizable.
 func (recorder *promiseRecorder) check() []string {
 	violations := recorder.violations
 	for _, history := range promiseModel.Partition(recorder.history) {
@@ -144,7 +156,7 @@
 	return violations
 }
 
-// queryAll queries every job at every controller each second, until a time.
+// queryAll queries every job at every controller once a second until the given time.
 func (recorder *promiseRecorder) queryAll(until time.Time) {
 	world := recorder.world
 	if world.now.After(until) {
@@ -157,7 +169,7 @@
 				process.request(func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} }, func(effect message.Effect) {
 					reply := effect.(message.UserReply)
 					world.sendMessage(process.name, "user", func() {
-						// A user waits for at most two seconds, as the protocol says.
+						// The protocol lets a user wait for at most two seconds.
 						if world.now.Sub(sentAt) < 2*time.Second {
 							world.onAnswer(sentAt, reply)
 						}
@@ -169,7 +181,7 @@
 	world.schedule(time.Second, func() { recorder.queryAll(until) })
 }
 
-// newPromiseWorld returns a world with promises.
+// newPromiseWorld returns a world of n controllers that promise dates.
 func newPromiseWorld(seed uint64, controllers int) *World {
 	types, capacity := testTypes()
 	settings := testSettings()
@@ -177,7 +189,8 @@
 	return NewWorld(seed, controllers, settings, testCancelWithin, types, capacity)
 }
 
-// TestPromisesRandomDays plays random days with promises, and queries all jobs at all controllers.
+// TestPromisesRandomDays checks on random days with faults that promised dates are linearizable and that the
+// stored totals are exact. Users query all jobs at all controllers. Some days also duplicate or lose messages.
 func TestPromisesRandomDays(t *testing.T) {
 	for seed := range dayCount(t, 8, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -209,8 +222,8 @@
 	return ok && request.Kind == message.OpTxn && len(request.Writes) > 0 && strings.HasPrefix(request.Writes[0].Key, "open/~")
 }
 
-// describe queries all jobs at all controllers and prints how many have a date, whether all answers are
-// alike, and what is wrong.
+// describe queries all jobs at all controllers. It returns the number of jobs with and without a date, whether
+// all controllers answered the same, and the violations, in the format of the scenario files.
 func (recorder *promiseRecorder) describe(revised bool) string {
 	world := recorder.world
 	last := map[string]promiseValue{}
@@ -247,12 +260,12 @@
 	return out.String()
 }
 
-// checkTotals checks the stored totals against the ended jobs.
+// checkTotals checks the stored totals of promises against the ended jobs, and returns the totals.
 func (recorder *promiseRecorder) checkTotals(t *testing.T) *promise.Totals {
 	t.Helper()
 	rec := recorder.world.state.records["promise/totals"]
 	if rec == nil {
-		t.Error("got no record promise/totals")
+		t.Error("got no record promise/totals, want one")
 		return nil
 	}
 	totals, err := promise.DecodeTotals(rec.value)
@@ -270,14 +283,14 @@
 	}
 	sum := totals.Sum()
 	if sum.Jobs != ended || sum.Made != promised || sum.Kept+sum.Broken != sum.Made {
-		t.Errorf("got totals %+v, want %d jobs, %d with a date", sum, ended, promised)
+		t.Errorf("got totals %+v, want %d ended jobs, %d of them done with a date, and kept plus broken equal to made", sum, ended, promised)
 	}
 	t.Logf("totals %+v, ratio %.2f, first %d", sum, totals.MedianRatio(), totals.PromisedAtAccept)
 	return totals
 }
 
-// TestStalePromisesAreDetected checks that an answer with a job's first date after a later one was answered
-// is detected.
+// TestStalePromisesAreDetected checks that promiseModel detects controllers that answer a job's first date
+// after a later date.
 func TestStalePromisesAreDetected(t *testing.T) {
 	for _, corrupted := range []bool{false, true} {
 		world := newPromiseWorld(3, 3)
@@ -311,9 +324,10 @@
 	}
 }
 
-// TestPromiseWritesAreGuarded checks that each write of a page compares the shard record of its team and the
-// page's own mod revision, that each of the totals compares the leader record and its own, and that an earlier
-// one of these writes changes nothing if it is applied late. In the end the totals are exact.
+// TestPromiseWritesAreGuarded guards against a former leader whose late write replaces newer dates or totals.
+// Each write of a page of dates must compare the shard record of the page's team and the page's own mod
+// revision, and each write of the totals must compare the leader record and the totals' own mod revision. Each
+// of these writes must conflict if it is applied again later. At the end the totals must be exact.
 func TestPromiseWritesAreGuarded(t *testing.T) {
 	world := newPromiseWorld(6, 3)
 	recorder := recordPromises(world)
@@ -339,7 +353,7 @@
 			comparesFence = comparesFence || strings.HasPrefix(compare.Key, fence)
 		}
 		if !comparesOwnKey || !comparesFence || len(request.Writes) > 1 {
-			t.Errorf("write of %s: got compares %v, want its own key and %s", key, request.Compares, fence)
+			t.Errorf("write of %s: got compares %v, want only this key written, and compares of this key and of %s", key, request.Compares, fence)
 		}
 		writes = append(writes, request)
 		return effect
@@ -356,13 +370,14 @@
 	world.Run(2 * time.Minute)
 	world.CrashController(0, 3*time.Second)
 	world.Run(2 * time.Minute)
-	// The history is compacted, so controllers read everything again, and must count it once.
+	// After a compaction of the history, controllers read all records again and must count each ended
+	// job only once.
 	world.state.compactedRevision, world.state.changes = world.state.revision, nil
 	world.Run(6 * time.Minute)
 	world.state.limits = nil
 	for _, request := range writes {
 		if request.Compares[len(request.Compares)-1].ModRevision == 0 {
-			// This may create a removed page again, whose jobs have all ended.
+			// This write may create a removed page again. All jobs of the page have ended, so it does no harm.
 			continue
 		}
 		world.state.Do(world.now, request, func(response message.StoreResponse) {
@@ -374,16 +389,16 @@
 	world.Run(30 * time.Second)
 	reportViolations(t, append(world.Violations, recorder.check()...))
 	if recorder.checkTotals(t); len(writes) < 10 {
-		t.Errorf("got %d writes, want at least 10", len(writes))
+		t.Errorf("got %d writes of pages and totals, want at least 10", len(writes))
 	}
 	if recorder.writes["page"] > 60 || recorder.writes["promise"] > 80 {
-		t.Errorf("got writes %v, want at most 60 of pages and 80 of promise records", recorder.writes)
+		t.Errorf("got writes %v, want at most 60 of pages and 80 of records under promise/", recorder.writes)
 	}
 }
 
-// TestPromisesSwitchedOnAndOff restarts the controllers with promises, without and with them again while
-// jobs run. No answer and no job is lost, jobs submitted without get a date, and while promises are off
-// no date is answered or written.
+// TestPromisesSwitchedOnAndOff checks that promises can be switched on and off by a restart of the controllers
+// while jobs run. All jobs must end and no query may fail. Jobs that were submitted without promises must get a
+// date later, and while promises are off no date may be answered or written.
 func TestPromisesSwitchedOnAndOff(t *testing.T) {
 	world := newTestWorld(8)
 	recorder := recordPromises(world)
@@ -403,13 +418,13 @@
 	submit(0, 6)
 	world.Run(30 * time.Second)
 	if len(recorder.history) > 0 || recorder.writes["promise"] > 0 || recorder.writes["page"] > 0 {
-		t.Fatalf("promises off: got %d dated answers and writes %v, want none", len(recorder.history), recorder.writes)
+		t.Fatalf("promises off: got %d answers with a date and writes %v, want no such answers and no writes of dates", len(recorder.history), recorder.writes)
 	}
 	restartAll(true)
 	submit(6, 10)
 	world.Run(10 * time.Second)
 	if len(recorder.newest) != 10 {
-		t.Errorf("got %d jobs with a date, want 10", len(recorder.newest))
+		t.Errorf("got %d jobs with a date after promises were switched on, want 10", len(recorder.newest))
 	}
 	restartAll(false)
 	answers := len(recorder.history)
@@ -428,13 +443,14 @@
 	}
 	for key := range world.state.records {
 		if strings.HasPrefix(key, "open/") {
-			t.Errorf("got record %s left, want it removed", key)
+			t.Errorf("got record %s after all jobs ended, want it removed", key)
 		}
 	}
 }
 
-// TestServicePromises checks that the date of a service is that by which all its replicas run. A known class
-// gets one at once, and keeps it once some were seen.
+// TestServicePromises checks that the date of a service is the time by which all its replicas run. A service of
+// a class that has started before gets its date with the acceptance, and after three services of the
+// class the promises must be kept.
 func TestServicePromises(t *testing.T) {
 	world := newPromiseWorld(9, 3)
 	recorder := recordPromises(world)
@@ -453,7 +469,7 @@
 			allRunningAfter = max(allRunningAfter, at.Sub(job.submitted))
 		}
 		if len(job.firstStarts) != 2 || job.promiseRevision == 0 || id > "job-002" && allRunningAfter > job.promised || id > "job-000" && !job.promisedAtFirst || job.promised > 5*time.Minute {
-			t.Errorf("%s: got all replicas running after %v, promised %v, revision %d, promised at once %v", id, allRunningAfter, job.promised, job.promiseRevision, job.promisedAtFirst)
+			t.Errorf("%s: got all replicas running after %v, promised %v, revision %d, promised at acceptance %v, want a kept promise of at most 5m; the first job may lack one at acceptance, and the first three may break theirs", id, allRunningAfter, job.promised, job.promiseRevision, job.promisedAtFirst)
 		}
 	}
 }
