--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -181,7 +181,7 @@
 	world.schedule(time.Second, func() { recorder.queryAll(until) })
 }
 
-// newPromiseWorld returns a world of n controllers that promise dates.
+// newPromiseWorld returns a world with the given number of controllers, which promise dates.
 func newPromiseWorld(seed uint64, controllers int) *World {
 	types, capacity := testTypes()
 	settings := testSettings()
@@ -377,7 +377,8 @@
 	world.state.limits = nil
 	for _, request := range writes {
 		if request.Compares[len(request.Compares)-1].ModRevision == 0 {
-			// This write may create a removed page again. All jobs of the page have ended, so it does no harm.
+			// This write creates a page. It may create the page again after its removal, when all its jobs
+			// have ended, so it need not conflict.
 			continue
 		}
 		world.state.Do(world.now, request, func(response message.StoreResponse) {
--- a/internal/simulation/scenario_faults_test.go
+++ b/internal/simulation/scenario_faults_test.go
@@ -13,8 +13,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// pausePoints are the steps at which a scenario pauses or crashes a controller: just before it sends such
-// an effect. The names are those of the scenario files.
+// pausePoints has the steps at which a scenario pauses or crashes a controller, by their names in scenario
+// files. A controller reaches a step when it is about to send an effect that the step's function matches.
 var pausePoints = map[string]func(message.Effect) bool{
 	"renew": func(effect message.Effect) bool {
 		request, ok := effect.(message.StoreRequest)
@@ -70,13 +70,13 @@
 	},
 }
 
-// writesKey reports whether an effect writes a key with the prefix.
+// writesKey reports whether an effect writes a record with the key prefix to the state service.
 func writesKey(effect message.Effect, prefix string) bool {
 	request, ok := effect.(message.StoreRequest)
 	return ok && slices.ContainsFunc(request.Writes, func(write message.Write) bool { return strings.HasPrefix(write.Key, prefix) })
 }
 
-// busiestMachine returns the machine with the most tasks.
+// busiestMachine returns the running machine with the most tasks, or nil if no machine runs.
 func (scenario *scenario) busiestMachine() *Worker {
 	var busiest *Worker
 	for _, id := range sortedKeys(scenario.world.machines) {
@@ -87,7 +87,7 @@
 	return busiest
 }
 
-// shardLeader returns the index of the first controller that leads a shard, or 0.
+// shardLeader returns the index of the first live controller that leads a shard, or 0 if none does.
 func (scenario *scenario) shardLeader() int {
 	for i, process := range scenario.world.controllers {
 		if process.alive && process.controller.IsShardLeader() {
@@ -97,7 +97,8 @@
 	return 0
 }
 
-// watchUnreachable counts the attempts that controllers start on unreachable machines from now on.
+// watchUnreachable records, from this call on, the attempts that controllers try to start on the machines while
+// they are unreachable.
 func (scenario *scenario) watchUnreachable(ids []string) {
 	scenario.unreachable, scenario.startedUnreachable = map[string]bool{}, map[string]bool{}
 	for _, id := range ids {
@@ -115,7 +116,8 @@
 	}
 }
 
-// startFault starts the fault that a scenario's command names.
+// startFault starts the fault that a scenario command names, and fails the test if there is no such fault. The
+// command has no output.
 func (scenario *scenario) startFault(t *testing.T, command *datadriven.TestData) string {
 	kind, duration := command.CmdArgs[0].Key, durationArg(t, command, "for", 20)
 	for _, start := range []func(*testing.T, *datadriven.TestData, string, time.Duration) bool{
@@ -129,8 +131,8 @@
 	return ""
 }
 
-// controllerArg returns the index of the controller that a command names: the shard leader, that of
-// a team, or one by its number.
+// controllerArg returns the index of the controller that a scenario command names: the first shard leader, the
+// shard leader of a team, or the controller with a number, by default 0.
 func (scenario *scenario) controllerArg(t *testing.T, command *datadriven.TestData) int {
 	if command.HasArg("owner") {
 		return scenario.shardLeader()
@@ -141,14 +143,15 @@
 	return arg(t, command, "node", 0)
 }
 
-// startControllerFault starts a fault of controller processes. It returns false if the kind is none.
+// startControllerFault starts a fault of controller processes. It returns false if the kind is another fault.
 func (scenario *scenario) startControllerFault(t *testing.T, command *datadriven.TestData, kind string, duration time.Duration) bool {
 	world := scenario.world
 	switch kind {
 	case "crash":
 		scenario.crash(t, command)
 	case "still":
-		// At a step of the shard leader, or of the first controller that comes to it, or at once.
+		// Pauses the shard leader or the first controller that reaches the step, or, without a step, a
+		// controller at once.
 		selects := func(process *controllerProcess) bool {
 			return !command.HasArg("owner") || process.controller.IsShardLeader()
 		}
@@ -161,7 +164,7 @@
 	case "refused":
 		world.refuseController(world.controllers[scenario.controllerArg(t, command)], duration)
 	case "refused_outage":
-		// Only this controller at first, then all.
+		// The state service refuses only this controller at first, and all controllers after the delay.
 		world.startOverlapFault(Fault{Kind: "refused_outage", Controller: scenario.controllerArg(t, command), Delay: durationArg(t, command, "late", 2), Duration: duration})
 	default:
 		return false
@@ -169,7 +172,7 @@
 	return true
 }
 
-// crash crashes one or several controllers, or the first that comes to a step.
+// crash crashes one or several controllers, or the first controller that reaches a step.
 func (scenario *scenario) crash(t *testing.T, command *datadriven.TestData) {
 	world := scenario.world
 	if matches, ok := pausePoints[arg(t, command, "in", "")]; ok {
@@ -190,15 +193,15 @@
 	case command.HasArg("all"):
 		crashIf(func(int) bool { return true })
 	case command.HasArg("still"):
-		// Those that are paused.
+		// Crashes the paused controllers.
 		crashIf(func(i int) bool { return world.now.Before(world.controllers[i].pausedUntil) })
 	default:
 		world.CrashController(scenario.controllerArg(t, command), restartAfter)
 	}
 }
 
-// startStoreFault starts a fault of the state service or the cloud. It returns false if the kind is
-// none.
+// startStoreFault starts a fault of the state service or the cloud. It returns false if the kind is another
+// fault.
 func (scenario *scenario) startStoreFault(t *testing.T, command *datadriven.TestData, kind string, duration time.Duration) bool {
 	world := scenario.world
 	switch kind {
@@ -207,7 +210,7 @@
 	case "outage":
 		world.Outage(duration)
 	case "damage":
-		// A record that no version can decode.
+		// Writes a record that no version of the controller can decode.
 		world.state.txn(message.StoreRequest{Writes: []message.Write{{Key: arg(t, command, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &message.StoreResponse{})
 	case "cloud":
 		world.cloudOutage = true
@@ -222,7 +225,7 @@
 	return true
 }
 
-// startLinkFault starts a fault of links between processes. It returns false if the kind is none.
+// startLinkFault starts a fault of links between processes. It returns false if the kind is another fault.
 func (scenario *scenario) startLinkFault(t *testing.T, command *datadriven.TestData, kind string, duration time.Duration) bool {
 	world := scenario.world
 	switch kind {
@@ -232,10 +235,10 @@
 		// The controller loses the state service and the other controllers, but not its workers.
 		world.IsolateController(scenario.controllerArg(t, command), duration, command.HasArg("refused"), command.HasArg("hold"))
 	case "unanswered":
-		// Only what the state service sends the controller is lost.
+		// Only messages from the state service to the controller are lost.
 		world.partitionOneWay("state", world.controllers[scenario.controllerArg(t, command)].name, duration)
 	case "mute":
-		// Only what the controller sends workers is lost.
+		// Only messages from the controller to workers are lost.
 		world.partitionOneWay(world.controllers[scenario.controllerArg(t, command)].name, "workers", duration)
 	case "half":
 		for i, id := range sortedKeys(world.machines) {
@@ -244,7 +247,7 @@
 			}
 		}
 	case "only_owner":
-		// The machines with tasks and all controllers but their shard leader don't reach each other.
+		// Partitions the machines that run tasks from all controllers except the named one.
 		for _, id := range sortedKeys(world.machines) {
 			for i, process := range world.controllers {
 				if machine := world.machines[id]; len(machine.tasks) > 0 && i != scenario.controllerArg(t, command) {
@@ -268,11 +271,12 @@
 	return true
 }
 
-// startHeldCommand holds the next command with starts, and cancels its job, crashes the shard leader
-// or reclaims the machine meanwhile.
+// startHeldCommand holds back the next worker command that starts tasks. Depending on the arguments, it cancels
+// the first task's job, crashes the shard leader or reclaims the machine while the command is held back.
 func (scenario *scenario) startHeldCommand(command *datadriven.TestData, duration time.Duration) {
 	world := scenario.world
-	// d is another command's by the time the command is held.
+	// The arguments are read at once, since the test data belongs to a later scenario command by the time
+	// a worker command is held back.
 	cancel, crash, reclaim := command.HasArg("abort"), command.HasArg("crash"), command.HasArg("recall")
 	scenario.holdCommand(duration, func(request message.WorkerRequest) {
 		if cancel {
@@ -282,14 +286,14 @@
 			world.CrashController(scenario.shardLeader(), 50*time.Millisecond)
 		}
 		if reclaim {
-			// Too short a notice for the task, so it is to run elsewhere.
+			// A notice of one minute is too short for the task, so the task must run elsewhere.
 			machine := world.machines[request.Machine]
 			machine.reclaimAt, machine.changed = world.now.Add(time.Minute), true
 		}
 	})
 }
 
-// startMachineFault starts a fault of machines. It returns false if the kind is none.
+// startMachineFault starts a fault of machines. It returns false if the kind is another fault.
 func (scenario *scenario) startMachineFault(t *testing.T, command *datadriven.TestData, kind string, duration time.Duration) bool {
 	world := scenario.world
 	sampleMachines := func() []string {
@@ -313,10 +317,10 @@
 		// The worker restarts under the same name without its state.
 		world.RestartWorker(scenario.busiestMachine(), 0)
 	case "mute_machines":
-		// Their heartbeats are lost, commands reach them.
+		// Heartbeats of the machines are lost, but commands reach the machines.
 		world.MakeUnheard(sampleMachines(), duration)
 	case "deaf_machines":
-		// Their heartbeats arrive; replies and commands don't reach them.
+		// Heartbeats of the machines arrive, but replies and commands don't reach the machines.
 		var ids []string
 		if command.HasArg("busiest") {
 			ids = []string{scenario.busiestMachine().ID}
@@ -331,7 +335,7 @@
 	return true
 }
 
-// startUserFault starts unusual requests of users. It returns false if the kind is none.
+// startUserFault starts unusual requests of users. It returns false if the kind is another fault.
 func (scenario *scenario) startUserFault(t *testing.T, command *datadriven.TestData, kind string, duration time.Duration) bool {
 	world := scenario.world
 	switch kind {
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -12,20 +12,20 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// scenario is the state of a scenario file.
+// scenario is the state of the world that the commands of one scenario file act on.
 type scenario struct {
 	world *World
-	// unreachable are machines that nothing reaches, and startedUnreachable the attempts that
-	// controllers have started there since.
+	// unreachable has the machines of the last deaf_machines fault, which replies and commands don't
+	// reach, and startedUnreachable the attempts that controllers tried to start on them meanwhile.
 	unreachable        map[string]bool
 	startedUnreachable map[string]bool
-	// heldCommand is the command that was held last.
+	// heldCommand is the worker command that was held back last.
 	heldCommand *heldCommand
-	// promises records the promised dates in a world with promises.
+	// promises records the promised dates. It is nil in a world without promises.
 	promises *promiseRecorder
 }
 
-// arg returns an argument of a command, or def without it.
+// arg returns the named argument of a scenario command, or fallback if the command doesn't have it.
 func arg[T any](t *testing.T, command *datadriven.TestData, name string, fallback T) T {
 	if command.HasArg(name) {
 		command.ScanArgs(t, name, &fallback)
@@ -33,12 +33,12 @@
 	return fallback
 }
 
-// durationArg returns an argument in seconds.
+// durationArg returns the named argument of a scenario command, which is in seconds like fallback.
 func durationArg(t *testing.T, command *datadriven.TestData, name string, fallback float64) time.Duration {
 	return record.DurationOfSeconds(arg(t, command, name, fallback))
 }
 
-// submit submits the job that a command describes.
+// submit submits the job that a scenario command describes.
 func (scenario *scenario) submit(t *testing.T, command *datadriven.TestData) {
 	runTime := durationArg(t, command, "run", 20)
 	cpu := arg(t, command, "cpu", 2.0)
@@ -60,7 +60,7 @@
 	scenario.world.Submit(spec, runTime, command.HasArg("broken"))
 }
 
-// shardLeaderNames returns the names of the controllers that lead a shard.
+// shardLeaderNames returns the names of the live controllers that lead a shard, each on a line.
 func (scenario *scenario) shardLeaderNames() string {
 	var names strings.Builder
 	for _, process := range scenario.world.controllers {
@@ -71,7 +71,8 @@
 	return names.String()
 }
 
-// describe prints the state of each job and the violations, which do not depend on where tasks run.
+// describe returns the last answered state of each job, or the status with which it was refused, and all
+// violations. None of them depends on where tasks run.
 func (scenario *scenario) describe() string {
 	var out strings.Builder
 	for _, id := range sortedKeys(scenario.world.jobs) {
@@ -89,7 +90,8 @@
 	return out.String()
 }
 
-// TestScenarios runs the scenario files under testdata.
+// TestScenarios runs each scenario file under testdata in a world of its own, and compares the output of its
+// commands.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		t.Parallel()
@@ -110,13 +112,13 @@
 	})
 }
 
-// newWorld replaces the world by the one that a command describes.
+// newWorld replaces the scenario's world by the one that a scenario command describes.
 func (scenario *scenario) newWorld(t *testing.T, command *datadriven.TestData) {
 	seed, controllers := arg(t, command, "seed", uint64(1)), arg(t, command, "nodes", 3)
 	scenario.world = newTestWorldOfSize(seed, controllers)
 	scenario.world.trace = os.Getenv("MICAHILL_TRACE")
 	if command.HasArg("lease") {
-		// Unless given, cancel_s is as much longer than the lease as in all deployments.
+		// By default cancel_s is 30 s longer than the lease, as in all deployments.
 		settings := testSettings()
 		settings.WorkerLease, settings.HeartbeatInterval = durationArg(t, command, "lease", 0), durationArg(t, command, "lease", 0)/6
 		types, capacity := testTypes()
@@ -131,8 +133,8 @@
 	}
 }
 
-// runSetup runs a command that sets the world up or disturbs it. It returns false if the command is
-// none.
+// runSetup runs a scenario command that sets up the world, advances its time or starts a fault. It returns
+// false if the command is another one.
 func (scenario *scenario) runSetup(t *testing.T, command *datadriven.TestData) (string, bool) {
 	switch command.Cmd {
 	case "world":
@@ -153,7 +155,8 @@
 	return "", true
 }
 
-// runUserCommand runs a command that sends requests of users. It returns false if the command is none.
+// runUserCommand runs a scenario command that sends requests of users. It returns false if the command is
+// another one.
 func (scenario *scenario) runUserCommand(t *testing.T, command *datadriven.TestData) (string, bool) {
 	switch command.Cmd {
 	case "flood":
@@ -183,7 +186,7 @@
 	return "", true
 }
 
-// submitMany submits small jobs with numbered names, except those that were submitted before.
+// submitMany submits small jobs with numbered IDs, except jobs that were submitted before.
 func (scenario *scenario) submitMany(t *testing.T, command *datadriven.TestData) {
 	for i := range arg(t, command, "jobs", 10) {
 		if scenario.world.jobs[fmt.Sprintf("job-m%03d", i)] != nil {
@@ -194,7 +197,8 @@
 	}
 }
 
-// runCheck runs a command that prints something of the world. It returns false if the command is none.
+// runCheck runs a scenario command that prints part of the world's state. It returns false if the command is
+// another one.
 func (scenario *scenario) runCheck(t *testing.T, command *datadriven.TestData) (string, bool) {
 	switch command.Cmd {
 	case "ranking":
@@ -230,7 +234,7 @@
 	case "on_deaf":
 		return fmt.Sprintf("%d\n", len(scenario.startedUnreachable)), true
 	case "met":
-		// Whether the faults took effect.
+		// Prints whether the faults took effect.
 		return fmt.Sprintf("commands carried out late: %v, copies brought to a next leader: %v\n", scenario.world.lateCommandsDone > 0, scenario.world.heartbeatsReplayed > 0), true
 	case "lost":
 		return fmt.Sprintf("%d\n", scenario.world.LostToLease), true
