--- a/cmd/micahill/client.go
+++ b/cmd/micahill/client.go
@@ -10,17 +10,17 @@
 	"strings"
 )
 
-// requestOverflow asks a controller for something of overflow; see requestJSON.
+// requestOverflow sends a request about overflow to a controller; see requestJSON.
 func requestOverflow(ctx context.Context, area, method, addr, path string, target any) error {
 	return requestJSON(ctx, area, "overflow", method, addr, path, nil, target)
 }
 
-// requestJSON sends a request to a controller's own address and decodes the JSON answer into
-// target. Errors begin with area; feature is the file under deploy/ that switches on what is
-// asked, without its ending.
+// requestJSON sends a request to a controller's internal address and decodes the JSON response
+// into target. Errors begin with area. feature is the name, without .toml, of the file under
+// deploy/ that enables the requested route.
 func requestJSON(ctx context.Context, area, feature, method, addr, path string, payload []byte, target any) error {
 	if addr == "" {
-		return fmt.Errorf("%s: --addr HOST:PORT is missing; it is the controller's own address, back in its settings", area)
+		return fmt.Errorf("%s: --addr HOST:PORT is missing; it is the controller's own address, \"back\" in its settings", area)
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -38,15 +38,15 @@
 	case err != nil:
 		return fmt.Errorf("%s: %w", area, err)
 	case resp.StatusCode == http.StatusNotFound:
-		return fmt.Errorf("%s: %s: not switched on there (--enable deploy/%s.toml)", area, addr, feature)
+		return fmt.Errorf("%s: %s: not enabled on this controller (--enable deploy/%s.toml)", area, addr, feature)
 	case resp.StatusCode != http.StatusOK:
-		var e struct {
+		var failure struct {
 			Message string `json:"message"`
 		}
-		if json.Unmarshal(b, &e) != nil || e.Message == "" {
-			e.Message = resp.Status
+		if json.Unmarshal(b, &failure) != nil || failure.Message == "" {
+			failure.Message = resp.Status
 		}
-		return fmt.Errorf("%s: %s: %s", area, addr, strings.TrimPrefix(e.Message, feature+": "))
+		return fmt.Errorf("%s: %s: %s", area, addr, strings.TrimPrefix(failure.Message, feature+": "))
 	}
 	if err := json.Unmarshal(b, target); err != nil {
 		return fmt.Errorf("%s: %w", area, err)
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// printJSON prints v for programs, indented.
+// printJSON writes v as indented JSON.
 func printJSON(out io.Writer, v any) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
--- a/cmd/micahill/keys.go
+++ b/cmd/micahill/keys.go
@@ -11,32 +11,33 @@
 	"github.com/spf13/cobra"
 )
 
-// keysCommand makes and keeps the operators' own certificates.
+// keysCommand returns the verbs that create, issue, show and rotate the certificates of the
+// operators' own CA.
 func keysCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use: "keys", Short: "Make, issue, show and rotate the operators' own certificates",
-		Long: "Clusters know each other by certificates of a CA that their operators keep:\n\n" +
+		Long: "Clusters authenticate each other with certificates of a CA that their operators keep:\n\n" +
 			"  micahill keys init --dir ca\n" +
 			"  micahill keys issue --dir ca --cluster east --out east-keys\n" +
 			"  micahill keys show --dir east-keys\n\n" +
-			"Copy east-keys to every controller of east; a running controller takes changed\n" +
-			"files up by itself. To rotate the CA, without an outage:\n\n" +
-			"  micahill keys rotate --dir ca            # trusted beside the old one\n" +
-			"  (copy ca/ca.pem into every cluster's folder, on all controllers)\n" +
-			"  micahill keys issue ...                  # for every cluster, and copy\n" +
-			"  micahill keys rotate --dir ca --finish   # the old one goes; copy ca.pem",
+			"Copy east-keys to every controller of east; a running controller reloads changed\n" +
+			"files by itself. To rotate the CA without an outage:\n\n" +
+			"  micahill keys rotate --dir ca            # adds a new CA beside the old one\n" +
+			"  (copy ca/ca.pem into every cluster's directory, on all controllers)\n" +
+			"  micahill keys issue ...                  # for every cluster; copy the results\n" +
+			"  micahill keys rotate --dir ca --finish   # removes the old CA; copy ca.pem again",
 	}
 	root.AddCommand(keysInit(), keysIssue(), keysShow(), keysRotate())
 	return root
 }
 
-// addDirFlag gives a verb the folder that it works on.
-func addDirFlag(c *cobra.Command, dir *string) *cobra.Command {
-	c.Flags().StringVar(dir, "dir", "", "the folder of the CA, or for show of a cluster")
-	return c
+// addDirFlag adds the flag --dir, the directory that a verb works on, and returns the command.
+func addDirFlag(command *cobra.Command, dir *string) *cobra.Command {
+	command.Flags().StringVar(dir, "dir", "", "the directory of the CA; for show, also that of a cluster")
+	return command
 }
 
-// requireFlag refuses a flag that was not given.
+// requireFlag returns an error if value, that of the named flag, is empty.
 func requireFlag(flag, value string) error {
 	if value == "" {
 		return fmt.Errorf("keys: --%s is missing; see micahill keys --help", flag)
@@ -44,10 +45,11 @@
 	return nil
 }
 
+// keysInit returns the verb that creates a CA.
 func keysInit() *cobra.Command {
 	var dir string
 	return addDirFlag(&cobra.Command{
-		Use: "init", Short: "Make a CA in a new folder", Args: cobra.NoArgs,
+		Use: "init", Short: "Make a CA in a new directory", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := requireFlag("dir", dir); err != nil {
 				return err
@@ -61,10 +63,11 @@
 	}, &dir)
 }
 
+// keysIssue returns the verb that issues the certificate of a cluster.
 func keysIssue() *cobra.Command {
 	var dir, cluster, out string
 	var days int
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "issue", Short: "Issue a cluster's certificate", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := errors.Join(requireFlag("dir", dir), requireFlag("cluster", cluster), requireFlag("out", out)); err != nil {
@@ -73,21 +76,22 @@
 			if err := certs.Issue(dir, cluster, out, time.Duration(days)*24*time.Hour, time.Now()); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: a certificate for %s, good for %d days. Copy the folder to all its controllers.\n", out, cluster, days)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: a certificate for %s, valid for %d days. Copy the directory to all controllers of this cluster.\n", out, cluster, days)
 			return nil
 		},
 	}
-	c.Flags().StringVar(&cluster, "cluster", "", "the cluster's name, as in overflow.cluster")
-	c.Flags().StringVar(&out, "out", "", "the folder to write to")
-	c.Flags().IntVar(&days, "days", int(certs.CertValidity.Hours()/24), "for how many days it is good")
-	return addDirFlag(c, &dir)
+	command.Flags().StringVar(&cluster, "cluster", "", "the cluster's name, as in overflow.cluster")
+	command.Flags().StringVar(&out, "out", "", "the directory to write to")
+	command.Flags().IntVar(&days, "days", int(certs.CertValidity.Hours()/24), "for how many days the certificate is valid")
+	return addDirFlag(command, &dir)
 }
 
+// keysShow returns the verb that shows the certificates of a directory.
 func keysShow() *cobra.Command {
 	var dir string
 	var asJSON bool
-	c := &cobra.Command{
-		Use: "show", Short: "Show a folder's certificates; status 1 if one is not good", Args: cobra.NoArgs,
+	command := &cobra.Command{
+		Use: "show", Short: "Show a directory's certificates; exit status 1 if one has a problem", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := requireFlag("dir", dir); err != nil {
 				return err
@@ -99,15 +103,16 @@
 			return printKeys(cmd.OutOrStdout(), infos, asJSON, time.Now())
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	return addDirFlag(c, &dir)
+	command.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	return addDirFlag(command, &dir)
 }
 
+// keysRotate returns the verb that starts the rotation of a CA, or finishes it with --finish.
 func keysRotate() *cobra.Command {
 	var dir string
 	var finish bool
-	c := &cobra.Command{
-		Use: "rotate", Short: "Make a new CA beside the old one, or end that with --finish", Args: cobra.NoArgs,
+	command := &cobra.Command{
+		Use: "rotate", Short: "Add a new CA beside the old one; with --finish, remove the old one", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := requireFlag("dir", dir); err != nil {
 				return err
@@ -116,26 +121,27 @@
 				if err := certs.FinishRotation(dir); err != nil {
 					return err
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: the old CA is trusted no more, once ca.pem is copied to every cluster.\n", dir)
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: the old CA is removed. Copy ca.pem to every cluster, which trusts the old CA until then.\n", dir)
 				return nil
 			}
 			if err := certs.Rotate(dir, time.Now()); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: a new CA beside the old one. Next: copy ca.pem to every cluster, then issue anew.\n", dir)
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: a new CA beside the old one. Next: copy ca.pem to every cluster, then issue new certificates.\n", dir)
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&finish, "finish", false, "the old CA is no longer to be trusted")
-	return addDirFlag(c, &dir)
+	command.Flags().BoolVar(&finish, "finish", false, "remove the old CA")
+	return addDirFlag(command, &dir)
 }
 
-// printKeys prints the certificates as a table or as JSON, and fails when one is not good.
+// printKeys prints the certificates as a table or as JSON, and returns an error if one of them
+// has a problem.
 func printKeys(out io.Writer, infos []certs.Info, asJSON bool, now time.Time) error {
 	problem := ""
-	for _, i := range infos {
-		if i.Problem != "" {
-			problem = i.File + ": " + i.Problem
+	for _, info := range infos {
+		if info.Problem != "" {
+			problem = info.File + ": " + info.Problem
 		}
 	}
 	if asJSON {
@@ -145,8 +151,8 @@
 	} else {
 		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "FILE\tNAME\tCLUSTER\tGOOD FOR\tFINGERPRINT\tPROBLEM")
-		for _, i := range infos {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%d days\t%s\t%s\n", i.File, i.Name, i.Cluster, int(i.NotAfter.Sub(now).Hours()/24), i.Fingerprint, i.Problem)
+		for _, info := range infos {
+			fmt.Fprintf(w, "%s\t%s\t%s\t%d days\t%s\t%s\n", info.File, info.Name, info.Cluster, int(info.NotAfter.Sub(now).Hours()/24), info.Fingerprint, info.Problem)
 		}
 		if err := w.Flush(); err != nil {
 			return fmt.Errorf("keys: %w", err)
--- a/cmd/micahill/logs_test.go
+++ b/cmd/micahill/logs_test.go
@@ -15,20 +15,21 @@
 	"testing"
 )
 
-// logFunctions are the functions that write a log line at info or above, with the level.
+// logFunctions maps each function that writes a log line at info or above to its level.
 var logFunctions = map[string]string{
 	"info": "info", "internalError": "error", "slog.Info": "info", "slog.Warn": "warn", "slog.Error": "error",
 }
 
-// simulationOnly are folders whose lines no operator sees.
+// simulationOnly lists the directories whose log lines no operator sees.
 var simulationOnly = []string{"internal/simulation", "internal/lab", "internal/search", "internal/testgolden", "internal/testseed"}
 
-// passThrough is the package that writes the controller's own lines on: their messages stand
-// where they are made.
+// passThrough is the package that writes log lines on behalf of the controller. Their messages
+// are literals where the controller creates them.
 const passThrough = "internal/server"
 
-// TestLogLinesAreDocumented checks that docs/operations/logs.md has each log line at info and
-// above with its level, and no line that the program does not write.
+// TestLogLinesAreDocumented checks that docs/operations/logs.md lists each log line at info and
+// above with its level, and no line that the program does not write. It guards against a page
+// that is out of date after a log line was added, reworded or removed.
 func TestLogLinesAreDocumented(t *testing.T) {
 	root := filepath.Join("..", "..")
 	written := logLines(t, root)
@@ -55,7 +56,7 @@
 	}
 }
 
-// logLines are the messages that the program's sources below root write, with their levels.
+// logLines returns the messages that the program's sources below root write, with their levels.
 func logLines(t *testing.T, root string) map[string]string {
 	t.Helper()
 	lines := map[string]string{}
@@ -85,8 +86,8 @@
 	return lines
 }
 
-// collectLogLines adds the messages that one file writes. A message has to be a literal, so that
-// it can be searched for.
+// collectLogLines adds the messages that the source file at path writes to lines. A message has
+// to be a literal, so that operators can search for it in the sources.
 func collectLogLines(t *testing.T, path string, lines map[string]string) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -94,8 +95,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ast.Inspect(file, func(n ast.Node) bool {
-		call, ok := n.(*ast.CallExpr)
+	ast.Inspect(file, func(node ast.Node) bool {
+		call, ok := node.(*ast.CallExpr)
 		if !ok || len(call.Args) == 0 {
 			return true
 		}
@@ -106,7 +107,7 @@
 		literal, ok := call.Args[0].(*ast.BasicLit)
 		if !ok {
 			if !strings.HasSuffix(filepath.ToSlash(filepath.Dir(path)), passThrough) {
-				t.Errorf("%s: the message of a log line is no literal", files.Position(call.Pos()))
+				t.Errorf("%s: the message of a log line is not a literal", files.Position(call.Pos()))
 			}
 			return true
 		}
@@ -122,7 +123,7 @@
 	})
 }
 
-// levelOf is the level of the log line that a call writes, "" if it writes none.
+// levelOf returns the level of the log line that a call writes, or "" if the call writes none.
 func levelOf(call *ast.CallExpr) string {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
@@ -131,8 +132,8 @@
 	if level := logFunctions[selector.Sel.Name]; level != "" {
 		return level
 	}
-	if x, ok := selector.X.(*ast.Ident); ok {
-		return logFunctions[x.Name+"."+selector.Sel.Name]
+	if receiver, ok := selector.X.(*ast.Ident); ok {
+		return logFunctions[receiver.Name+"."+selector.Sel.Name]
 	}
 	return ""
 }
--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -1,5 +1,5 @@
-// Command micahill is a cluster scheduler's controller: it takes users' jobs,
-// rents machines and runs the jobs' tasks on them.
+// Command micahill runs the controller of a cluster scheduler: it accepts jobs from users, rents
+// machines and runs the jobs' tasks on them. Its verbs are the operators' commands.
 package main
 
 import (
@@ -10,9 +10,10 @@
 	"github.com/spf13/cobra"
 )
 
-// version is the program's, as "micahill version" prints it.
+// version is the version of the program, as "micahill version" prints it.
 var version = "0.1.0"
 
+// main runs the command line and exits with status 1 if the command fails.
 func main() {
 	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "micahill:", err)
@@ -20,13 +21,14 @@
 	}
 }
 
+// rootCommand returns the command that runs a controller, with the operators' verbs below it.
 func rootCommand() *cobra.Command {
 	var path, script string
 	var enable []string
 	root := &cobra.Command{
 		Use:           "micahill --config FILE",
 		Short:         "A cluster scheduler for rented machines",
-		Long:          "micahill runs one controller: it takes jobs from users, rents machines from the\ncloud and runs the jobs' tasks on them. Logs go to standard error; LOG_LEVEL is\nerror, info or debug.",
+		Long:          "micahill runs one controller: it takes jobs from users, rents machines from the\ncloud and runs the jobs' tasks on them. Logs go to standard error; the environment\nvariable LOG_LEVEL is error, info (the default) or debug.",
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -38,8 +40,8 @@
 		},
 	}
 	root.Flags().StringVar(&path, "config", "", "settings file (TOML)")
-	root.Flags().StringVar(&script, "policy", "", "operators' policy (Starlark); absent: built-in defaults")
-	root.Flags().StringArrayVar(&enable, "enable", nil, "file under deploy/ that switches something on; repeatable")
+	root.Flags().StringVar(&script, "policy", "", "policy script of the operators (Starlark); absent: built-in defaults")
+	root.Flags().StringArrayVar(&enable, "enable", nil, "file that enables a feature, such as those under deploy/; repeatable")
 	root.AddCommand(peersCommand(), drainCommand(), undrainCommand(), rankingCommand())
 	root.AddCommand(checkCommand(), statusCommand(), promisesCommand(), keysCommand(), &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
@@ -48,11 +50,12 @@
 	return root
 }
 
-// checkCommand reads what a controller would be started with and reports the first fault.
+// checkCommand returns the verb that checks the files a controller would be started with and
+// reports the first error.
 func checkCommand() *cobra.Command {
 	var path, script string
 	var enable []string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "check", Short: "Check a settings file and say what is wrong with it", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if path == "" {
@@ -63,15 +66,15 @@
 				return err
 			}
 			cfg := start.config
-			for _, w := range cfg.Warnings() {
-				fmt.Fprintln(cmd.ErrOrStderr(), "micahill: settings: warning:", w)
+			for _, warning := range cfg.Warnings() {
+				fmt.Fprintln(cmd.ErrOrStderr(), "micahill: settings: warning:", warning)
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: controller %s of %d, %d team(s): ok\n", path, cfg.HostName, len(cfg.Peers)+1, len(cfg.Deployment.Teams))
 			return nil
 		},
 	}
-	c.Flags().StringVar(&path, "config", "", "settings file (TOML)")
-	c.Flags().StringVar(&script, "policy", "", "operators' policy (Starlark) to check as well")
-	c.Flags().StringArrayVar(&enable, "enable", nil, "file under deploy/ to check as well; repeatable")
-	return c
+	command.Flags().StringVar(&path, "config", "", "settings file (TOML)")
+	command.Flags().StringVar(&script, "policy", "", "policy script of the operators (Starlark) to check as well")
+	command.Flags().StringArrayVar(&enable, "enable", nil, "file under deploy/ to check as well; repeatable")
+	return command
 }
--- a/cmd/micahill/promises.go
+++ b/cmd/micahill/promises.go
@@ -12,12 +12,13 @@
 	"github.com/spf13/cobra"
 )
 
+// promisesCommand returns the verb that shows the promised completion times of jobs.
 func promisesCommand() *cobra.Command {
 	var addr, class, job string
 	var jsonOutput, atRisk bool
-	c := &cobra.Command{
-		Use: "promises", Short: "Show promised dates: what was kept, and what is open", Args: cobra.NoArgs,
-		Long: "Shows by team and class how many dates were made, kept, broken and revised, and the\ndates of the jobs that are not over. ADDR is any controller's own address, back in its\nsettings: all tell the same. What is at risk the controller that runs a job knows best.",
+	command := &cobra.Command{
+		Use: "promises", Short: "Show promised completion times: how many were kept, and those of open jobs", Args: cobra.NoArgs,
+		Long: "Shows by team and class how many completion times (dates) were promised, kept, broken\nand revised, and the dates of open jobs. ADDR is any controller's own address, \"back\"\nin its settings: all show the same dates. The controller that runs a job knows best\nwhether its date is at risk.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			query := url.Values{}
 			for k, v := range map[string]string{"class": class, "job": job} {
@@ -28,56 +29,58 @@
 			if atRisk {
 				query.Set("at_risk", "true")
 			}
-			var p message.PromiseReply
-			if err := requestJSON(cmd.Context(), "promises", "promises", http.MethodGet, addr, "/promises?"+query.Encode(), nil, &p); err != nil {
+			var reply message.PromiseReply
+			if err := requestJSON(cmd.Context(), "promises", "promises", http.MethodGet, addr, "/promises?"+query.Encode(), nil, &reply); err != nil {
 				return err
 			}
 			if jsonOutput {
-				return printJSON(cmd.OutOrStdout(), p)
+				return printJSON(cmd.OutOrStdout(), reply)
 			}
-			if len(p.Open) == 0 && job != "" && !atRisk {
-				return fmt.Errorf("promises: %s: no such job, or it was cancelled just now; it is asked for by its id", job)
+			if len(reply.Open) == 0 && job != "" && !atRisk {
+				return fmt.Errorf("promises: %s: no such job, or it was cancelled just now; --job takes the id of a job", job)
 			}
-			return printPromises(cmd.OutOrStdout(), &p, job != "" || atRisk)
+			return printPromises(cmd.OutOrStdout(), &reply, job != "" || atRisk)
 		},
 	}
-	c.Flags().StringVar(&addr, "addr", "", "the controller's own address (back)")
-	c.Flags().StringVar(&class, "class", "", "only this class (workload)")
-	c.Flags().StringVar(&job, "job", "", "only this job, also one that is over")
-	c.Flags().BoolVar(&atRisk, "at-risk", false, "only dates that have passed or would be missed")
-	c.Flags().BoolVar(&jsonOutput, "json", false, "as JSON")
-	return c
+	command.Flags().StringVar(&addr, "addr", "", "the controller's own address (back)")
+	command.Flags().StringVar(&class, "class", "", "only this class (workload)")
+	command.Flags().StringVar(&job, "job", "", "only the job with this id, which may have ended")
+	command.Flags().BoolVar(&atRisk, "at-risk", false, "only dates that have passed or are expected to be missed")
+	command.Flags().BoolVar(&jsonOutput, "json", false, "as JSON")
+	return command
 }
 
-func printPromises(out io.Writer, p *message.PromiseReply, jobsOnly bool) error {
+// printPromises prints the totals by team and class, and the dates of open jobs. jobsOnly leaves
+// out the totals.
+func printPromises(out io.Writer, reply *message.PromiseReply, jobsOnly bool) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	formatSeconds := func(s float64) string {
 		return time.Duration(s * float64(time.Second)).Round(100 * time.Millisecond).String()
 	}
 	if !jobsOnly {
-		s := p.Sum
+		sum := reply.Sum
 		fmt.Fprintf(out, "%s: %d ended, %d with a date: %d kept, %d broken, %d revised; worst %s late; half were promised up to %.2f times what they took; %d open\n",
-			p.Host, s.Ended, s.Made, s.Kept, s.Broken, s.Revised, formatSeconds(s.WorstSeconds), p.MedianRatio, len(p.Open)+p.Omitted)
+			reply.Host, sum.Ended, sum.Made, sum.Kept, sum.Broken, sum.Revised, formatSeconds(sum.WorstSeconds), reply.MedianRatio, len(reply.Open)+reply.Omitted)
 		fmt.Fprintln(w, "\nTEAM\tCLASS\tENDED\tMADE\tKEPT\tBROKEN\tREVISED\tWORST")
-		for _, r := range p.Rows {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.Team, r.Class, r.Ended, r.Made, r.Kept, r.Broken, r.Revised, formatSeconds(r.WorstSeconds))
+		for _, row := range reply.Rows {
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", row.Team, row.Class, row.Ended, row.Made, row.Kept, row.Broken, row.Revised, formatSeconds(row.WorstSeconds))
 		}
 	}
-	if len(p.Open) == 0 && jobsOnly {
-		fmt.Fprintf(out, "no date is at risk, as far as %s knows\n", p.Host)
+	if len(reply.Open) == 0 && jobsOnly {
+		fmt.Fprintf(out, "no date is at risk, as far as %s knows\n", reply.Host)
 	}
-	if len(p.Open) > 0 {
+	if len(reply.Open) > 0 {
 		fmt.Fprintln(w, "\nJOB\tTEAM\tCLASS\tSTATE\tPROMISED\tREV\tWHY\tAGE\tAT RISK")
-		for _, o := range p.Open {
+		for _, promise := range reply.Open {
 			date := "none yet"
-			if o.Revision > 0 {
-				date = formatSeconds(o.PromisedSeconds)
+			if promise.Revision > 0 {
+				date = formatSeconds(promise.PromisedSeconds)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%v\n", o.Job, o.Team, o.Class, o.State, date, o.Revision, o.Reason, formatSeconds(o.AgeSeconds), o.AtRisk)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%v\n", promise.Job, promise.Team, promise.Class, promise.State, date, promise.Revision, promise.Reason, formatSeconds(promise.AgeSeconds), promise.AtRisk)
 		}
 	}
-	if p.Omitted > 0 {
-		fmt.Fprintf(w, "\nand %d more\n", p.Omitted)
+	if reply.Omitted > 0 {
+		fmt.Fprintf(w, "\nand %d more\n", reply.Omitted)
 	}
 	return w.Flush()
 }
--- a/cmd/micahill/ranking_test.go
+++ b/cmd/micahill/ranking_test.go
@@ -15,7 +15,9 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// TestRankingCommands shows, sets and refuses a ranking at whole controllers, as an operator does.
+// TestRankingCommands runs the verbs of ranking against three whole controllers, as an operator
+// does. It checks that a valid ranking reaches all controllers, and that an invalid file or a
+// stale revision is refused with an error that says why.
 func TestRankingCommands(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	dir := t.TempDir()
@@ -27,19 +29,19 @@
 		return path
 	}
 	enableFile := write("ranking.toml", "[ranking]\nenabled = true\n")
-	var api, back []string
+	var apiAddrs, internalAddrs []string
 	for range 3 {
-		api, back = append(api, freeAddress(t)), append(back, freeAddress(t))
+		apiAddrs, internalAddrs = append(apiAddrs, freeAddress(t)), append(internalAddrs, freeAddress(t))
 	}
 	types := []model.MachineType{{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
-	set := controller.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
-	live := simulation.NewLive(set, 100, 50, types, map[string]int{"small/a/true": 1}, api)
+	settings := controller.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
+	live := simulation.NewLive(settings, 100, 50, types, map[string]int{"small/a/true": 1}, apiAddrs)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer live.Stop()
 	defer cancel()
 	go live.Run(ctx)
-	for i := range api {
-		path := write("controller.toml"+string(rune('0'+i)), settingsFile(i, api, back, live))
+	for i := range apiAddrs {
+		path := write("controller.toml"+string(rune('0'+i)), settingsFile(i, apiAddrs, internalAddrs, live))
 		go func() { _ = runController(ctx, path, "", []string{enableFile}) }()
 	}
 	runCommand := func(args ...string) (string, error) {
@@ -52,12 +54,12 @@
 		return out.String(), err
 	}
 	eventually(t, "the leader derives a ranking", func() bool {
-		out, err := runCommand("show", "--addr", back[1])
+		out, err := runCommand("show", "--addr", internalAddrs[1])
 		return err == nil && strings.Contains(out, "revision 1, derived by")
 	})
 	good := write("good.toml", "[[class]]\nname = \"rush\"\nworkloads = [\"rush-*\"]\nbound_s = 30\n")
 	bad := write("bad.toml", "[[class]]\nname = \"rush\"\nworkloads = [\"rush-*\"]\npart = 7\n")
-	out, err := runCommand("set", good, "--addr", back[0], "--by", "me", "--rev", "1")
+	out, err := runCommand("set", good, "--addr", internalAddrs[0], "--by", "me", "--rev", "1")
 	if err != nil || !strings.Contains(out, "warning: no class takes all of urgency critical") || !strings.Contains(out, "revision 2 holds") {
 		t.Fatalf("set: got %q, %v, want a warning and revision 2", out, err)
 	}
@@ -66,11 +68,11 @@
 		args []string
 		want string
 	}{
-		{"set on an older revision", []string{"set", good, "--addr", back[2], "--rev", "1"}, "revision 2 stands there, not 1"},
-		{"set an invalid file", []string{"set", bad, "--addr", back[2]}, "bad.toml:4:1: field class[0].part"},
+		{"set on an older revision", []string{"set", good, "--addr", internalAddrs[2], "--rev", "1"}, "revision 2 stands there, not 1"},
+		{"set an invalid file", []string{"set", bad, "--addr", internalAddrs[2]}, "bad.toml:4:1: field class[0].part"},
 		{"check an invalid file", []string{"check", bad}, "bad.toml:4:1: field class[0].part"},
 		{"show without an address", []string{"show"}, "--addr HOST:PORT is missing"},
-		{"show why of no job", []string{"show", "--addr", back[0], "--why", "x"}, "is no job's id"},
+		{"show why with an invalid job id", []string{"show", "--addr", internalAddrs[0], "--why", "x"}, "is no job's id"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if out, err := runCommand(c.args...); err == nil || !strings.HasPrefix(err.Error(), "ranking: ") || !strings.Contains(err.Error(), c.want) {
@@ -78,23 +80,23 @@
 			}
 		})
 	}
-	for _, a := range back {
-		eventually(t, "every controller shows it", func() bool {
-			out, err := runCommand("show", "--addr", a)
+	for _, addr := range internalAddrs {
+		eventually(t, "every controller shows revision 2", func() bool {
+			out, err := runCommand("show", "--addr", addr)
 			return err == nil && strings.Contains(out, "revision 2, set by me") && strings.Contains(out, "rush-*")
 		})
 	}
-	if out, err := runCommand("history", "--addr", back[2], "--json"); err != nil || !strings.Contains(out, `"bound_s": 30`) || strings.Count(out, `"rev"`) != 2 {
+	if out, err := runCommand("history", "--addr", internalAddrs[2], "--json"); err != nil || !strings.Contains(out, `"bound_s": 30`) || strings.Count(out, `"rev"`) != 2 {
 		t.Errorf("history: got %q, %v, want two revisions, one with bound_s 30", out, err)
 	}
 	live.AddJob(jobSpec(jobFields("job-1", "ops", 400)), time.Second)
 	eventually(t, "a job is accepted", func() bool {
-		s, _, _ := request(t, http.MethodPost, "http://"+api[0]+"/v2/runs", jobFields("job-1", "ops", 400))
-		return s == 201 || s == 200
+		status, _, _ := request(t, http.MethodPost, "http://"+apiAddrs[0]+"/v2/runs", jobFields("job-1", "ops", 400))
+		return status == 201 || status == 200
 	})
-	eventually(t, "a controller says why it waits", func() bool {
-		for _, a := range back {
-			if out, err := runCommand("show", "--addr", a, "--why", "job-1"); err == nil && strings.Contains(out, "class (normal), place 4 of 5") && strings.Count(out, "\n") == 1 {
+	eventually(t, "a controller explains why the job waits", func() bool {
+		for _, addr := range internalAddrs {
+			if out, err := runCommand("show", "--addr", addr, "--why", "job-1"); err == nil && strings.Contains(out, "class (normal), place 4 of 5") && strings.Count(out, "\n") == 1 {
 				return true
 			}
 		}
--- a/cmd/micahill/run.go
+++ b/cmd/micahill/run.go
@@ -26,25 +26,29 @@
 	"github.com/micahill/micahill/internal/worker"
 )
 
+// The memory limits of the process, and the number of its services.
 const (
-	// heapFraction is the part of the process's memory limit that Go's heap may take. The rest
-	// is for stacks, buffers and garbage: above the limit the process is killed.
+	// heapFraction is the part of the process's memory limit that Go's heap may take. The rest is
+	// for stacks, buffers and garbage, since the process is killed above its limit.
 	heapFraction = 0.6
-	// gcPercent is above Go's default of 100: memory is plentiful and processor time is short.
+	// gcPercent is the garbage collector's target percentage (GOGC). It is above Go's default of
+	// 100 because memory is plentiful and processor time is scarce.
 	gcPercent = 300
-	// serviceCount is the number of goroutines that a controller runs until one fails: the two
-	// listeners, the loop, and with overflow the broker and its listener.
+	// serviceCount is the largest number of goroutines that a controller runs until one of them
+	// fails: the two listeners, the event loop, and with overflow the broker and its listener.
 	serviceCount = 5
 )
 
-// startup is what a controller is started with, read and checked.
+// startup holds the settings, the policy and the extra files that a controller is started with.
+// All of them are validated.
 type startup struct {
 	config *config.Config
 	policy controller.Policy
 	extras *config.Extras
 }
 
-// loadStartup reads the settings, the operators' script and the files that switch features on.
+// loadStartup reads and validates the settings, the operators' policy script and the files that
+// enable features.
 func loadStartup(path, script string, enable []string) (*startup, error) {
 	cfg, err := config.Load(path)
 	if err != nil {
@@ -64,7 +68,7 @@
 	return &startup{config: cfg, policy: scriptPolicy, extras: extras}, nil
 }
 
-// logLevel is the level that the environment asks for.
+// logLevel returns the level that the environment variable LOG_LEVEL sets; the default is info.
 func logLevel() slog.Level {
 	switch os.Getenv("LOG_LEVEL") {
 	case "debug":
@@ -75,16 +79,17 @@
 	return slog.LevelInfo
 }
 
-// limitRuntime fits Go's runtime to the process's share of its machine.
+// limitRuntime limits Go's runtime to the processor and memory quota of the process.
 func limitRuntime(memoryMB float64) {
-	// The process has about one processor; more threads would only switch.
+	// The process has a quota of about one processor, so more threads would only add context
+	// switches.
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(memoryMB * heapFraction * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 }
 
-// runController runs one controller until the context ends or a part of it fails, and returns
-// why it ended.
+// runController runs one controller until the context ends or a service of the controller fails,
+// and returns the reason.
 func runController(ctx context.Context, path, script string, enable []string) error {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
 	start, err := loadStartup(path, script, enable)
@@ -92,16 +97,16 @@
 		return err
 	}
 	cfg := start.config
-	for _, w := range cfg.Warnings() {
-		slog.Warn("settings tight", "warning", w)
+	for _, warning := range cfg.Warnings() {
+		slog.Warn("settings leave little margin", "warning", warning)
 	}
 	limitRuntime(cfg.Deployment.Quota.MemoryMB)
 
 	var seed [32]byte
 	if _, err := crand.Read(seed[:]); err != nil {
-		return fmt.Errorf("seed: %w", err)
+		return fmt.Errorf("random seed: %w", err)
 	}
-	// The incarnation tells this process from earlier ones of the same host.
+	// The incarnation distinguishes this process from earlier ones on the same host.
 	incarnation := fmt.Sprintf("%x", binary.LittleEndian.Uint64(seed[:8]))
 	settings := cfg.Settings(start.policy, incarnation)
 	settings.Capabilities = start.extras.Capabilities()
@@ -114,8 +119,8 @@
 	slog.Info("controller started", "version", version, "host", cfg.HostName, "incarnation", incarnation)
 	failures := make(chan error, serviceCount)
 	var extraRoutes []func(*echo.Echo)
-	if o := start.extras.Overflow; o != nil {
-		routes, err := startOverflow(ctx, o, cfg, srv, recorder.Registry(), rand.New(rand.NewChaCha8(seed)), failures)
+	if overflowConfig := start.extras.Overflow; overflowConfig != nil {
+		routes, err := startOverflow(ctx, overflowConfig, cfg, srv, recorder.Registry(), rand.New(rand.NewChaCha8(seed)), failures)
 		if err != nil {
 			return err
 		}
@@ -131,8 +136,9 @@
 	return <-failures
 }
 
-// effectHandlers makes the clients of everything outside and joins them to the effects of the
-// controller; each answered request is recorded.
+// effectHandlers creates the clients of the state service, the cloud, the workers and the peers,
+// and connects them to the controller's effects. It records the result and the latency of each
+// request to the state service, the cloud and the workers.
 func effectHandlers(ctx context.Context, cfg *config.Config, capabilities controller.Capabilities, recorder *metrics.Recorder) server.EffectHandlers {
 	deployment := &cfg.Deployment
 	peers := map[string]string{}
@@ -163,9 +169,9 @@
 		},
 		SendPeerUpdate: peer.StartSender(ctx, peers).Send,
 		RoleChanged:    recorder.Role,
-		SetRates: func(r message.Rates) {
-			stateClient.SetRates(r)
-			recorder.Rates(r)
+		SetRates: func(rates message.Rates) {
+			stateClient.SetRates(rates)
+			recorder.Rates(rates)
 		},
 		InternalError: recorder.InternalError,
 		ObserveStep:   recorder.Step,
@@ -178,14 +184,16 @@
 	return handlers
 }
 
-// startServices runs the loop and both listeners; each reports to failures when it ends.
+// startServices starts the event loop and both listeners. Each of them sends its error to
+// failures when it ends.
 func startServices(ctx context.Context, cfg *config.Config, srv *server.Server, recorder *metrics.Recorder, extraRoutes []func(*echo.Echo), failures chan<- error) {
 	go func() {
 		failures <- api.Serve(ctx, cfg.APIAddr, cfg.Deployment.Quota.Sockets, srv, recorder.Request)
 	}()
 	go func() {
-		// Users and workers are served while this waits for an address still in use.
-		internal, err := peer.Listen(ctx, cfg.InternalAddr, func(n message.PeerUpdate) { srv.Post(n) })
+		// Users and workers are served while Listen waits for an internal address that is still
+		// in use.
+		internal, err := peer.Listen(ctx, cfg.InternalAddr, func(update message.PeerUpdate) { srv.Post(update) })
 		if err != nil {
 			failures <- err
 			return
