--- a/cmd/micahill-lab/conditions.go
+++ b/cmd/micahill-lab/conditions.go
@@ -12,45 +12,45 @@
 	"github.com/spf13/cobra"
 )
 
-// conditionsCommand removes the conditions of the safety argument one at a time and prints which
-// tests notice.
+// conditionsCommand returns the verb that removes the conditions of the safety argument one at a
+// time and prints which tests fail without each.
 func conditionsCommand() *cobra.Command {
 	var root, list, only string
 	var parallel int
 	var asJSON, table bool
-	c := &cobra.Command{
-		Use: "conditions", Short: "Take each condition of the safety argument out and see a test fail", Args: cobra.NoArgs,
-		Long: "Takes one condition after another out of a copy of the sources and runs the\ntests without it. Each must be noticed by a test: status 1 if one is not. Takes\nsome minutes; progress goes to standard error.",
+	command := &cobra.Command{
+		Use: "conditions", Short: "Remove each condition of the safety argument and check that a test fails", Args: cobra.NoArgs,
+		Long: "Removes one condition at a time from a copy of the sources and runs the tests\nwithout it. At least one test has to fail each time: exit status 1 if none does.\nTakes some minutes; progress goes to standard error.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if !filepath.IsAbs(list) {
 				list = filepath.Join(root, list)
 			}
-			l, err := conditions.Load(list, root)
+			conditionList, err := conditions.Load(list, root)
 			if err != nil {
 				return err
 			}
-			re, err := regexp.Compile(only)
+			pattern, err := regexp.Compile(only)
 			if err != nil {
 				return fmt.Errorf("conditions: --only: %w", err)
 			}
 			var chosen []conditions.Condition
-			for _, x := range l.Conditions {
-				if re.MatchString(x.Name) {
-					chosen = append(chosen, x)
+			for _, condition := range conditionList.Conditions {
+				if pattern.MatchString(condition.Name) {
+					chosen = append(chosen, condition)
 				}
 			}
 			if len(chosen) == 0 {
-				return fmt.Errorf("conditions: --only %s: no condition has such a name", only)
+				return fmt.Errorf("conditions: --only %s: no name of a condition matches", only)
 			}
 			results := make([]conditions.Result, len(chosen))
 			var wg sync.WaitGroup
 			var mu sync.Mutex
 			slots := make(chan struct{}, max(1, parallel))
-			for i, x := range chosen {
+			for i, condition := range chosen {
 				wg.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					results[i] = l.TestMutant(cmd.Context(), x)
+					results[i] = conditionList.TestMutant(cmd.Context(), condition)
 					mu.Lock()
 					defer mu.Unlock()
 					fmt.Fprintln(cmd.ErrOrStderr(), progressLine(results[i]))
@@ -60,25 +60,28 @@
 			return printConditions(cmd.OutOrStdout(), results, asJSON, table)
 		},
 	}
-	c.Flags().StringVar(&root, "root", ".", "the repository's root")
-	c.Flags().StringVar(&list, "list", "internal/controller/conditions.toml", "the list of conditions, relative to the root")
-	c.Flags().StringVar(&only, "only", "", "only conditions whose names match this regular expression")
-	c.Flags().IntVar(&parallel, "parallel", 4, "how many are tried at a time")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
-	c.Flags().BoolVar(&table, "table", false, "print the table that docs/design.md keeps")
-	return c
+	command.Flags().StringVar(&root, "root", ".", "the repository's root")
+	command.Flags().StringVar(&list, "list", "internal/controller/conditions.toml", "the list of conditions; a relative path is relative to the root")
+	command.Flags().StringVar(&only, "only", "", "only conditions whose names match this regular expression")
+	command.Flags().IntVar(&parallel, "parallel", 4, "how many conditions are tested at a time")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
+	command.Flags().BoolVar(&table, "table", false, "print the table of docs/design.md")
+	return command
 }
 
-func progressLine(r conditions.Result) string {
+// progressLine formats the result of one condition, with at most three of the tests that failed.
+func progressLine(result conditions.Result) string {
 	switch {
-	case r.Err != nil:
-		return fmt.Sprintf("?  %s: %v", r.Condition.Name, r.Err)
-	case len(r.Failed) == 0:
-		return fmt.Sprintf("-- %s: NO TEST NOTICES", r.Condition.Name)
+	case result.Err != nil:
+		return fmt.Sprintf("?  %s: %v", result.Condition.Name, result.Err)
+	case len(result.Failed) == 0:
+		return fmt.Sprintf("-- %s: NO TEST FAILS", result.Condition.Name)
 	}
-	return fmt.Sprintf("ok %s: %s", r.Condition.Name, strings.Join(r.Failed[:min(3, len(r.Failed))], " "))
+	return fmt.Sprintf("ok %s: %s", result.Condition.Name, strings.Join(result.Failed[:min(3, len(result.Failed))], " "))
 }
 
+// printConditions prints the results as JSON, as the table of docs/design.md or as totals. It
+// returns an error if a condition was not noticed by any test or could not be tested.
 func printConditions(out io.Writer, results []conditions.Result, asJSON, table bool) error {
 	unnoticed, failed := 0, 0
 	type row struct {
@@ -91,22 +94,22 @@
 	if table {
 		fmt.Fprintln(out, "| invariant | condition | without it fails |\n| --- | --- | --- |")
 	}
-	for _, r := range results {
-		w := row{Name: r.Condition.Name, Noticed: len(r.Failed) > 0, Tests: r.Failed}
+	for _, result := range results {
+		entry := row{Name: result.Condition.Name, Noticed: len(result.Failed) > 0, Tests: result.Failed}
 		switch {
-		case r.Err != nil:
+		case result.Err != nil:
 			failed++
-			w.Error = r.Err.Error()
-		case len(r.Failed) == 0:
+			entry.Error = result.Err.Error()
+		case len(result.Failed) == 0:
 			unnoticed++
 		}
-		rows = append(rows, w)
+		rows = append(rows, entry)
 		if table {
-			guard := r.Condition.GuardTest
-			if guard == "" && len(r.Failed) > 0 {
-				guard = r.Failed[len(r.Failed)-1]
+			guard := result.Condition.GuardTest
+			if guard == "" && len(result.Failed) > 0 {
+				guard = result.Failed[len(result.Failed)-1]
 			}
-			fmt.Fprintf(out, "| %s | %s (`%s`) | `%s` |\n", r.Condition.Invariant, r.Condition.Name, filepath.Base(r.Condition.File), guard)
+			fmt.Fprintf(out, "| %s | %s (`%s`) | `%s` |\n", result.Condition.Invariant, result.Condition.Name, filepath.Base(result.Condition.File), guard)
 		}
 	}
 	if asJSON {
@@ -114,10 +117,10 @@
 			return fmt.Errorf("conditions: %w", err)
 		}
 	} else if !table {
-		fmt.Fprintf(out, "%d conditions: %d noticed, %d not noticed, %d could not be tried\n", len(results), len(results)-unnoticed-failed, unnoticed, failed)
+		fmt.Fprintf(out, "%d conditions: %d noticed, %d not noticed, %d could not be tested\n", len(results), len(results)-unnoticed-failed, unnoticed, failed)
 	}
 	if unnoticed+failed > 0 {
-		return fmt.Errorf("conditions: %d not noticed by any test, %d could not be tried", unnoticed, failed)
+		return fmt.Errorf("conditions: %d not noticed by any test, %d could not be tested", unnoticed, failed)
 	}
 	return nil
 }
--- a/cmd/micahill-lab/days.go
+++ b/cmd/micahill-lab/days.go
@@ -11,150 +11,158 @@
 	"github.com/spf13/cobra"
 )
 
-// daysOptions are the flags of days.
+// daysOptions holds the flags of days.
 type daysOptions struct {
-	// params hold of every day; its seed is that of a single day or of a search.
+	// params apply to every day. params.Seed is the seed of a single day or of a search.
 	params simulation.DayParams
-	// count days are played from firstSeed on, parallel of them at a time.
+	// count is the number of days, with consecutive seeds from firstSeed on. parallel of them run
+	// at a time.
 	count, firstSeed uint64
 	parallel         int
-	// dayFile holds the day that is played in place of a drawn one.
+	// dayFile is the path of a saved day that is run in place of a generated one.
 	dayFile string
 	shrink  bool
-	// trace selects the debug lines of a single day.
+	// trace selects the debug lines of a single day: words separated by |.
 	trace         string
 	quiet, asJSON bool
 	searchMode    bool
 	search        daySearch
 }
 
-const daysHelp = `Plays days of controllers, state service, cloud, machines and users in simulated
-time. What is not given is drawn from each day's seed: 1 to 9 teams, 3 to 7
-controllers, tens to a thousand machines, small limits and troubles. All rules are
-checked after every step. Tells for each class and team what was served, the waits
-and how late jobs were. LARGEST is the part of a class's largest jobs that was served,
-the least of all classes; BEGIN is the longest wait of one for its first task, and for
-all that limit and room allow at once. Status 1 if a rule was broken, a job was
-forgotten, less than half of a class, its largest jobs or a team was served, or one of
-the largest began after more than 240 s. What was served is counted three minutes after
-the last job came. Time in which the cloud gives hardly anything, late boots leave
-nothing to use, or the state service or all controllers are away counts for neither.
+// daysHelp is the help text of days.
+const daysHelp = `Runs days of controllers, state service, cloud, machines and users in simulated
+time. What no flag sets is drawn from each day's seed: 1 to 9 teams, 3 to 7
+controllers, tens to a thousand machines, small limits and faults. All rules are
+checked after every step. Prints for each class and team the served part, the waits
+and how late jobs were. LARGEST is the served part of a class's largest jobs, the least
+of all classes. BEGIN is the longest wait of such a job for its first task, and for as
+many tasks as its limit and the capacity allow at a time. Exit status 1 if a rule was
+broken, a job was forgotten, less than half of a class, of its largest jobs or of a team
+was served, or one of the largest jobs started after more than 240 s. The served part is
+counted three minutes after the last job was submitted. Neither the served part nor the
+240 s include time in which the cloud provides hardly any machines, late boots leave no
+usable machine, or the state service or all controllers are unavailable.
 
-With --meetings two or three troubles of all lists overlap while users cancel most of
-a class. Tasks of a cancelled job have to be gone in time from the first answer that
-leaves a controller, heard or not, on every machine whose lease has not ended.
+With --meetings two or three faults of any kind overlap while users cancel most jobs of
+a class. Tasks of a cancelled job have to be gone in time from the moment that the first
+answer leaves a controller, whether or not it arrives, on every machine whose lease has
+not ended.
 
-With --pipelines jobs need others, and users cancel in the middle of such pipelines:
-nothing starts before all that it needs is done, what needs a cancelled job is called
-cancelled within cancel_s, and what comes after a done job goes on.
+With --pipelines jobs depend on other jobs, and users cancel in the middle of such
+pipelines. No job starts before all its dependencies are done, the dependents of a
+cancelled job are reported as cancelled within cancel_s, and the dependents of a done
+job go on.
 
-With --seek it draws such days, keeps those that came nearest to breaking a rule that
-has a time, shifts, swaps and replaces their troubles and goes on from there. It tells
-the least slack found by rule, and writes those days, and all that broke a rule, into
---out as files for --play. --seed is the search's; the same seed plays the same days, as
-long as --within does not end it earlier. Without --machines the days are small. Status 1
-if a rule was broken.
+With --seek it generates days with overlapping faults, keeps those that came nearest to
+breaking a rule with a time limit, shifts, swaps and replaces their faults, and repeats
+this from the days kept. It prints the least slack found for each rule, and writes those
+days, and all that broke a rule, into --out as files for --play. --seed is the seed of
+the search: the same seed runs the same days unless --within ends the search earlier.
+Without --machines the days are small. Exit status 1 if a rule was broken.
 
---seed N plays one day and prints its log, --shrink cuts a broken one down to the
-troubles that it takes.`
+--seed N runs one day and prints its log. --shrink removes faults from a day that breaks
+a rule while it still breaks one.`
 
-// daysCommand plays days of the simulation.
+// daysCommand returns the verb that runs days of the simulation.
 func daysCommand() *cobra.Command {
-	var o daysOptions
-	c := &cobra.Command{
-		Use: "days", Short: "Play seeded days in simulated time and check all rules", Args: cobra.NoArgs,
+	var options daysOptions
+	command := &cobra.Command{
+		Use: "days", Short: "Run seeded days in simulated time and check all rules", Args: cobra.NoArgs,
 		Long: daysHelp,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := o.validate(); err != nil {
+			if err := options.validate(); err != nil {
 				return err
 			}
 			out, progress := cmd.OutOrStdout(), cmd.ErrOrStderr()
 			switch {
-			case o.searchMode:
-				o.search.seed = max(1, o.params.Seed)
-				return o.search.run(out, progress, o.params, o.parallel)
-			case cmd.Flags().Changed("seed") || o.dayFile != "":
-				return o.playOne(out, progress)
+			case options.searchMode:
+				options.search.seed = max(1, options.params.Seed)
+				return options.search.run(out, progress, options.params, options.parallel)
+			case cmd.Flags().Changed("seed") || options.dayFile != "":
+				return options.playOne(out, progress)
 			}
-			return printDays(out, o.playAll(), o.asJSON, o.count == 1)
+			return printDays(out, options.playAll(), options.asJSON, options.count == 1)
 		},
 	}
-	o.addFlags(c)
-	return c
+	options.addFlags(command)
+	return command
 }
 
-func (o *daysOptions) addFlags(c *cobra.Command) {
-	f := c.Flags()
-	f.IntVar(&o.params.Machines, "machines", 0, "machines that the cloud has")
-	f.IntVar(&o.params.Teams, "teams", 0, "teams")
-	f.IntVar(&o.params.Controllers, "controllers", 0, "controllers")
-	f.IntVar(&o.params.Jobs, "jobs", 0, "jobs in all")
-	f.IntVar(&o.params.FaultCount, "faults", 0, "troubles; -1: none")
-	f.IntVar(&o.params.Minutes, "minutes", 0, "how long jobs come")
-	f.IntVar(&o.params.HotFactor, "hot", 0, "how many times the work of another team the first has")
-	f.BoolVar(&o.params.UnlistedFaults, "unlisted", false, "with troubles that were on no list: late boots, storms of polls, mistakes, guests, ends in a row, links that are half there")
-	f.BoolVar(&o.params.ProtocolFaults, "product", false, "as --unlisted, also with machines that nothing reaches, late copies of reports, controllers that have only their workers, and processes and machines back at once")
-	f.BoolVar(&o.params.OverlappingFaults, "meetings", false, "two or three troubles of all lists meet, and users cancel most of a class around them; with --unlisted, --product or --faults also those")
-	f.BoolVar(&o.params.Pipelines, "pipelines", false, "jobs that need others, in chains, joins and fans, and users who cancel in the middle of them")
-	f.BoolVar(&o.params.MixedJobs, "mixed", false, "jobs that save, stand, are bound to a zone or apart, and clocks that are off")
-	f.IntVar(&o.params.CancelMarginS, "cancel-room", 0, "by how many seconds cancel_s is longer than a lease; 0: 30")
-	f.IntVar(&o.params.Models, "models", 0, "so many hosts with eight GPUs, and models of one GPU to a whole host")
-	f.StringSliceVar(&o.params.Enabled, "on", nil, "what is switched on: ranking, promises, models, or all")
-	f.Uint64Var(&o.count, "seeds", 10, "how many days")
-	f.Uint64Var(&o.firstSeed, "from", 1, "the first day's seed")
-	f.Uint64Var(&o.params.Seed, "seed", 0, "play this one day, with its log")
-	f.StringVar(&o.dayFile, "play", "", "play the day of this file, as with --seed")
-	f.BoolVar(&o.searchMode, "seek", false, "search days of meetings by the slack that they leave")
-	f.IntVar(&o.search.runs, "runs", 500, "with --seek: how many days are played")
-	f.DurationVar(&o.search.timeLimit, "within", 0, "with --seek: end it after this time; 0: when all are played")
-	f.StringVar(&o.search.focusRule, "first", simulation.RuleCancelled, "with --seek: the rule that half of the changed days go on from")
-	f.StringVar(&o.search.outDir, "out", ".", "with --seek: where days are written")
-	f.BoolVar(&o.shrink, "shrink", false, "with --seed or --play: leave out troubles while the day stays broken")
-	f.StringVar(&o.trace, "trace", "", "with --seed: debug lines with this word, or one of several with | between")
-	f.BoolVar(&o.quiet, "quiet", false, "with --seed: no log")
-	f.IntVar(&o.parallel, "parallel", 6, "how many days are played at a time")
-	f.BoolVar(&o.asJSON, "json", false, "print the results as JSON")
+// addFlags defines the flags.
+func (options *daysOptions) addFlags(command *cobra.Command) {
+	flags := command.Flags()
+	flags.IntVar(&options.params.Machines, "machines", 0, "number of machines that the cloud has")
+	flags.IntVar(&options.params.Teams, "teams", 0, "number of teams, up to 26")
+	flags.IntVar(&options.params.Controllers, "controllers", 0, "number of controllers, up to 9")
+	flags.IntVar(&options.params.Jobs, "jobs", 0, "number of ordinary jobs")
+	flags.IntVar(&options.params.FaultCount, "faults", 0, "number of faults; -1: none")
+	flags.IntVar(&options.params.Minutes, "minutes", 0, "for how many minutes jobs are submitted")
+	flags.IntVar(&options.params.HotFactor, "hot", 0, "load of the first team, as a multiple of another team's")
+	flags.BoolVar(&options.params.UnlistedFaults, "unlisted", false, "add unlisted faults: late boots, bursts of polls, jobs that always fail, a team of guests, repeated crashes, and links and services that work in part")
+	flags.BoolVar(&options.params.ProtocolFaults, "product", false, "as --unlisted, and add faults of the protocol: unreachable machines, late copies of reports, controllers that reach only their workers, and processes and machines that are back within a fraction of a second")
+	flags.BoolVar(&options.params.OverlappingFaults, "meetings", false, "two or three faults of any kind overlap, and users cancel most jobs of a class around them; combines with --unlisted, --product and --faults")
+	flags.BoolVar(&options.params.Pipelines, "pipelines", false, "jobs that depend on other jobs, in chains, joins and fans, and users who cancel in the middle of them")
+	flags.BoolVar(&options.params.MixedJobs, "mixed", false, "jobs that save snapshots, run until cancelled, are bound to a zone or spread over zones, and skewed clocks")
+	flags.IntVar(&options.params.CancelMarginS, "cancel-room", 0, "by how many seconds cancel_s is longer than a lease; 0: 30")
+	flags.IntVar(&options.params.Models, "models", 0, "number of hosts with eight GPUs, for models that take from one GPU to a whole host")
+	flags.StringSliceVar(&options.params.Enabled, "on", nil, "features to enable: ranking, promises, models, or all")
+	flags.Uint64Var(&options.count, "seeds", 10, "number of days")
+	flags.Uint64Var(&options.firstSeed, "from", 1, "the first day's seed")
+	flags.Uint64Var(&options.params.Seed, "seed", 0, "run the day of this seed, and print its log")
+	flags.StringVar(&options.dayFile, "play", "", "run the day saved in this file, as with --seed")
+	flags.BoolVar(&options.searchMode, "seek", false, "search for days with overlapping faults that leave little slack")
+	flags.IntVar(&options.search.runs, "runs", 500, "with --seek: number of days to run")
+	flags.DurationVar(&options.search.timeLimit, "within", 0, "with --seek: end the search after this time; 0: no limit")
+	flags.StringVar(&options.search.focusRule, "first", simulation.RuleCancelled, "with --seek: the rule whose nearest days half of the changed days start from")
+	flags.StringVar(&options.search.outDir, "out", ".", "with --seek: the directory that days are written to")
+	flags.BoolVar(&options.shrink, "shrink", false, "with --seed or --play: remove faults while the day still breaks a rule")
+	flags.StringVar(&options.trace, "trace", "", "with --seed: print debug lines that contain this word, or one of several separated by |")
+	flags.BoolVar(&options.quiet, "quiet", false, "with --seed: print no log")
+	flags.IntVar(&options.parallel, "parallel", 6, "how many days run at a time")
+	flags.BoolVar(&options.asJSON, "json", false, "print the results as JSON")
 }
 
-func (o *daysOptions) validate() error {
-	p := &o.params
-	if p.Machines < 0 || p.Teams < 0 || p.Teams > 26 || p.Controllers < 0 || p.Controllers > 9 || p.Models < 0 || o.count < 1 {
-		return errors.New("days: --machines, --teams (up to 26), --controllers (up to 9), --models and --seeds are to be positive")
+// validate checks the flags that set sizes, and the parameters of the days.
+func (options *daysOptions) validate() error {
+	params := &options.params
+	if params.Machines < 0 || params.Teams < 0 || params.Teams > 26 || params.Controllers < 0 || params.Controllers > 9 || params.Models < 0 || options.count < 1 {
+		return errors.New("days: want --machines and --models of at least 0, --teams of 0 to 26, --controllers of 0 to 9, and --seeds of at least 1")
 	}
-	return p.Validate()
+	return params.Validate()
 }
 
-// playOne plays a single day, drawn or of a file, and prints its log and groups.
-func (o *daysOptions) playOne(out, progress io.Writer) error {
-	day := simulation.GenerateDay(o.params)
-	if o.dayFile != "" {
+// playOne runs a single day, generated or loaded from a file, and prints its log and its groups.
+func (options *daysOptions) playOne(out, progress io.Writer) error {
+	day := simulation.GenerateDay(options.params)
+	if options.dayFile != "" {
 		var err error
-		if day, err = simulation.LoadDay(o.dayFile); err != nil {
+		if day, err = simulation.LoadDay(options.dayFile); err != nil {
 			return fmt.Errorf("days: %w", err)
 		}
 	}
-	if o.shrink {
+	if options.shrink {
 		broken := func(r simulation.DayResult) bool { return len(r.Violations) > 0 }
 		day = simulation.Shrink(day, broken, func(s string) { fmt.Fprintln(progress, s) })
 	}
-	result := simulation.RunDay(day, o.trace)
-	if !o.quiet {
+	result := simulation.RunDay(day, options.trace)
+	if !options.quiet {
 		fmt.Fprintln(out, strings.Join(result.Log, "\n"))
 	}
-	return printDays(out, []simulation.DayResult{result}, o.asJSON, true)
+	return printDays(out, []simulation.DayResult{result}, options.asJSON, true)
 }
 
-// playAll draws and plays days of consecutive seeds.
-func (o *daysOptions) playAll() []simulation.DayResult {
-	results := make([]simulation.DayResult, o.count)
+// playAll generates and runs days with consecutive seeds, and returns their results in that
+// order.
+func (options *daysOptions) playAll() []simulation.DayResult {
+	results := make([]simulation.DayResult, options.count)
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, max(1, o.parallel))
-	for i := range o.count {
+	slots := make(chan struct{}, max(1, options.parallel))
+	for i := range options.count {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			params := o.params
-			params.Seed = o.firstSeed + i
+			params := options.params
+			params.Seed = options.firstSeed + i
 			results[i] = simulation.RunDay(simulation.GenerateDay(params), "")
 		})
 	}
--- a/cmd/micahill-lab/days_print.go
+++ b/cmd/micahill-lab/days_print.go
@@ -11,22 +11,23 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// errDaysFailed reports that a rule was broken or a group was served too little.
-var errDaysFailed = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest began too late")
+// errDaysFailed reports that a rule was broken or that a group was served too little.
+var errDaysFailed = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest started too late")
 
-// formatStarts formats the waits of the largest jobs for their first and for all their tasks.
+// formatStarts formats the longest waits of the largest jobs, in seconds: for a first task, and
+// for as many tasks as can run at a time.
 func formatStarts(largest *simulation.LargestJobs) string {
-	show := func(s float64) string {
-		if s < 0 {
+	show := func(seconds float64) string {
+		if seconds < 0 {
 			return "never"
 		}
-		return fmt.Sprintf("%.0f", s)
+		return fmt.Sprintf("%.0f", seconds)
 	}
 	return show(largest.FirstStartS) + "/" + show(largest.AllStartedS)
 }
 
-// printDays prints the results as a table, one day a line, or as JSON, and returns errDaysFailed
-// if one of them failed. showGroups adds the waits of each class and team.
+// printDays prints the results as JSON, or as a table with one line a day. It returns
+// errDaysFailed if a day failed. showGroups adds the waits of each class and team.
 func printDays(out io.Writer, results []simulation.DayResult, asJSON, showGroups bool) error {
 	if asJSON {
 		if err := json.NewEncoder(out).Encode(results); err != nil {
@@ -57,7 +58,7 @@
 	return daysFailure(results)
 }
 
-// daysFailure is errDaysFailed if a rule was broken or a group was served too little.
+// daysFailure returns errDaysFailed if a rule was broken or a group was served too little.
 func daysFailure(results []simulation.DayResult) error {
 	for i := range results {
 		if len(results[i].Violations) > 0 || len(results[i].Starved()) > 0 {
@@ -67,64 +68,64 @@
 	return nil
 }
 
-// printDay prints a day's line of the table.
-func printDay(w io.Writer, r *simulation.DayResult) {
+// printDay prints the table line of a day.
+func printDay(w io.Writer, result *simulation.DayResult) {
 	served, jobs, leastServed := 0.0, 0, 1.0
-	for _, g := range r.TeamGroups {
-		served += g.ServedFraction * float64(g.Jobs)
-		jobs += g.Jobs
-		leastServed = min(leastServed, g.ServedFraction)
+	for _, group := range result.TeamGroups {
+		served += group.ServedFraction * float64(group.Jobs)
+		jobs += group.Jobs
+		leastServed = min(leastServed, group.ServedFraction)
 	}
-	for _, g := range r.Classes {
-		leastServed = min(leastServed, g.ServedFraction)
+	for _, group := range result.Classes {
+		leastServed = min(leastServed, group.ServedFraction)
 	}
-	worst := r.Worst()
+	worst := result.Worst()
 	modelColumns := ""
-	if m := r.ModelStats; m != nil {
-		modelColumns = fmt.Sprintf("%d/%d\t%.0f/%.0f\t%.2f\t%d\t%d\t%d\t%.0f\t", m.LargeStarted, m.LargeModels, m.Wait.P50, m.Wait.Max, m.Up, m.OthersUnstarted, m.FragmentedGPUs, m.Stopped, m.Down.P90)
+	if stats := result.ModelStats; stats != nil {
+		modelColumns = fmt.Sprintf("%d/%d\t%.0f/%.0f\t%.2f\t%d\t%d\t%d\t%.0f\t", stats.LargeStarted, stats.LargeModels, stats.Wait.P50, stats.Wait.Max, stats.Up, stats.OthersUnstarted, stats.FragmentedGPUs, stats.Stopped, stats.Down.P90)
 	}
 	broken := "-"
-	if len(r.Violations) > 0 {
-		broken = fmt.Sprintf("%d: %s", len(r.Violations), r.Violations[0])
+	if len(result.Violations) > 0 {
+		broken = fmt.Sprintf("%d: %s", len(result.Violations), result.Violations[0])
 	}
-	if s := r.Starved(); len(s) > 0 {
-		broken += " starved: " + strings.Join(s, ", ")
+	if starved := result.Starved(); len(starved) > 0 {
+		broken += " starved: " + strings.Join(starved, ", ")
 	}
-	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.2f\t%.2f\t%s\t%d\t%d\t%d\t%.1f\t%d\t%d\t%d\t%.2f\t%s%s\n", r.Seed, r.Machines, r.Teams, r.Controllers, r.Jobs, len(r.Day.Faults),
-		served/float64(max(1, jobs)), leastServed, worst.ServedFraction, formatStarts(&worst), r.Starts, r.LostToLease, r.RefusedRequests, r.WritesPerSecond, r.RateLimited, r.RentedMachines, r.UnusedMachines, r.Cost, modelColumns, broken)
+	fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.2f\t%.2f\t%s\t%d\t%d\t%d\t%.1f\t%d\t%d\t%d\t%.2f\t%s%s\n", result.Seed, result.Machines, result.Teams, result.Controllers, result.Jobs, len(result.Day.Faults),
+		served/float64(max(1, jobs)), leastServed, worst.ServedFraction, formatStarts(&worst), result.Starts, result.LostToLease, result.RefusedRequests, result.WritesPerSecond, result.RateLimited, result.RentedMachines, result.UnusedMachines, result.Cost, modelColumns, broken)
 }
 
-// printPromises prints what became of a day's promised dates, if it has any.
-func printPromises(w io.Writer, r *simulation.DayResult) {
-	if d := r.Promises; d != nil {
-		fmt.Fprintf(w, "\ndates of %d: %d of %d ended, kept %.3f, revised %d, first answers %.2f, median %.1f s for %.1f s, worst %.1f s, pages/s %.2f", r.Seed, d.Made, d.Ended, d.Kept, d.Revised, d.DatedAtFirst, d.MedianDateS, d.MedianFinishS, d.WorstS, d.PageWritesPerS)
+// printPromises prints the totals of a day's promised completion times, if promises are enabled.
+func printPromises(w io.Writer, result *simulation.DayResult) {
+	if promises := result.Promises; promises != nil {
+		fmt.Fprintf(w, "\ndates of %d: %d of %d ended, kept %.3f, revised %d, first answers %.2f, median %.1f s for %.1f s, worst %.1f s, pages/s %.2f", result.Seed, promises.Made, promises.Ended, promises.Kept, promises.Revised, promises.DatedAtFirst, promises.MedianDateS, promises.MedianFinishS, promises.WorstS, promises.PageWritesPerS)
 	}
 }
 
-// printGroups prints what each class and team got of a day, its faults, and how near it came to
-// breaking each rule that has a time.
-func printGroups(w io.Writer, r *simulation.DayResult) {
+// printGroups prints the results of each class and team, the faults of the day, and the least
+// slack that the day left to each rule with a time limit.
+func printGroups(w io.Writer, result *simulation.DayResult) {
 	fmt.Fprintln(w, "\nOF\tJOBS\tSERVED\tLARGEST\tBEGIN\tWAIT P50\tP90\tMAX\tLATE P50\tP90\tMAX")
-	for _, g := range append(append([]simulation.Group{}, r.Classes...), r.TeamGroups...) {
+	for _, group := range append(append([]simulation.Group{}, result.Classes...), result.TeamGroups...) {
 		largest, began := "", ""
-		if l := g.Largest; l != nil {
-			largest, began = fmt.Sprintf("%.2f", l.ServedFraction), formatStarts(l)
+		if largestJobs := group.Largest; largestJobs != nil {
+			largest, began = fmt.Sprintf("%.2f", largestJobs.ServedFraction), formatStarts(largestJobs)
 		}
-		fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", g.Name, g.Jobs, g.ServedFraction, largest, began, g.Wait.P50, g.Wait.P90, g.Wait.Max, g.Late.P50, g.Late.P90, g.Late.Max)
+		fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", group.Name, group.Jobs, group.ServedFraction, largest, began, group.Wait.P50, group.Wait.P90, group.Wait.Max, group.Late.P50, group.Late.P90, group.Late.Max)
 	}
-	for _, f := range r.Day.Faults {
-		fmt.Fprintf(w, "%s\n", f)
+	for _, fault := range result.Day.Faults {
+		fmt.Fprintf(w, "%s\n", fault)
 	}
-	if c := r.Cancels; c != nil {
-		fmt.Fprintln(w, c)
+	if cancels := result.Cancels; cancels != nil {
+		fmt.Fprintln(w, cancels)
 	}
-	fmt.Fprintf(w, "starts after a confirmed cancellation: %d\n", r.StartsAfterCancel)
+	fmt.Fprintf(w, "starts after a confirmed cancellation: %d\n", result.StartsAfterCancel)
 	for _, rule := range simulation.TimedRules {
-		if s, ok := r.Margins[rule]; ok {
-			fmt.Fprintf(w, "slack of %s: %.1f s, %s\n", rule, s.Remaining.Seconds(), s.Subject)
+		if margin, ok := result.Margins[rule]; ok {
+			fmt.Fprintf(w, "slack of %s: %.1f s, %s\n", rule, margin.Remaining.Seconds(), margin.Subject)
 		}
 	}
-	for _, b := range r.Violations {
-		fmt.Fprintf(w, "%s\n", b)
+	for _, violation := range result.Violations {
+		fmt.Fprintf(w, "%s\n", violation)
 	}
 }
--- a/cmd/micahill-lab/json.go
+++ b/cmd/micahill-lab/json.go
@@ -5,9 +5,9 @@
 	"io"
 )
 
-// printJSON prints v for programs, indented.
+// printJSON writes v as indented JSON.
 func printJSON(out io.Writer, v any) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
--- a/cmd/micahill-lab/main.go
+++ b/cmd/micahill-lab/main.go
@@ -1,5 +1,6 @@
-// Command micahill-lab runs experiments with micahill on simulated services: clusters on loopback,
-// faults, growing sizes, days in simulated time, and conditions taken out of the sources.
+// Command micahill-lab runs experiments with micahill on simulated services: clusters on
+// loopback, lending under faults, measurements of clusters of growing size, days in simulated
+// time, and a mutation test of the safety conditions.
 package main
 
 import (
@@ -12,12 +13,14 @@
 	"github.com/spf13/cobra"
 )
 
+// main runs the command line until it ends or is interrupted, and exits with status 1 if the
+// command fails.
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := &cobra.Command{
-		Use: "micahill-lab", Short: "Experiments with micahill on stand-ins",
-		Long:         "Experiments with micahill over the project's own stand-ins: nothing of a real\ncloud is touched, and all traffic stays on this machine.",
+		Use: "micahill-lab", Short: "Experiments with micahill on simulated services",
+		Long:         "Experiments with micahill on simulated services: no real cloud is used, and all\ntraffic stays on this machine.",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(upCommand(), overflowCommand(), conditionsCommand(), daysCommand(), scaleCommand())
--- a/cmd/micahill-lab/scale.go
+++ b/cmd/micahill-lab/scale.go
@@ -14,79 +14,82 @@
 	"github.com/spf13/cobra"
 )
 
-// errScaleViolation reports that a rule of the protocol was broken in a measurement.
+// errScaleViolation reports that a measurement broke a rule of the protocol.
 var errScaleViolation = errors.New("scale: a rule was broken")
 
-// scaleOptions are the flags of scale.
+// scaleOptions holds the flags of scale.
 type scaleOptions struct {
-	// plan holds of every measurement but for its workers and starts.
+	// plan applies to every measurement, except for its numbers of workers and starts.
 	plan scale.Plan
-	// workers has one number for each measurement, and starts too; its last holds for the rest.
+	// workers has one element for each measurement. starts has up to as many; its last element
+	// applies to the remaining measurements.
 	workers     []int
 	starts      []float64
 	programFlag string
-	// earlier are files with results that are fitted together with the new ones.
+	// earlier lists files of earlier results, which are printed and fitted together with the new
+	// ones.
 	earlier []string
 	asJSON  bool
 }
 
-// scaleCommand runs clusters of growing size and measures them.
+// scaleCommand returns the verb that runs and measures clusters of growing size.
 func scaleCommand() *cobra.Command {
-	var o scaleOptions
-	c := &cobra.Command{
-		Use: "scale", Short: "Run clusters of growing size with hollow workers and measure what each role takes", Args: cobra.NoArgs,
-		Long: "For each number of workers: real controllers and hollow workers on loopback, each with an\naddress, a session and tasks of its own that speaks the protocol whole, tasks being\ntimers. Measures processor and memory of each controller by role, requests and changes\nat the state service, reports, acceptance, urgent starts and the takeover when the\ncontroller that runs most is ended, and fits lines through the rungs. What other work\nthe machine had meanwhile stands under OTHERS, in cores.",
+	var options scaleOptions
+	command := &cobra.Command{
+		Use: "scale", Short: "Run clusters of growing size with hollow workers and measure the resources that each role takes", Args: cobra.NoArgs,
+		Long: "For each number of workers: runs real controllers and hollow workers on loopback. A\nhollow worker has its own address, session and tasks and speaks the whole protocol, but\nits tasks are timers. Measures processor time and memory of each controller by role,\nrequests and changes at the state service, reports, acceptance, urgent starts and the\ntakeover after the controller with the most duties is killed, and fits lines through the\nmeasurements (rungs). OTHERS is the load of other processes on the machine, in cores.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			o.plan.Program, o.plan.Progress = controllerProgram(o.programFlag), cmd.ErrOrStderr()
-			if len(o.earlier) > 0 && !cmd.Flags().Changed("workers") {
-				o.workers = nil
+			options.plan.Program, options.plan.Progress = controllerProgram(options.programFlag), cmd.ErrOrStderr()
+			if len(options.earlier) > 0 && !cmd.Flags().Changed("workers") {
+				options.workers = nil
 			}
-			plans, err := o.plans()
+			plans, err := options.plans()
 			if err != nil {
 				return err
 			}
-			series, err := o.measure(cmd, plans)
+			series, err := options.measure(cmd, plans)
 			if err != nil {
 				return err
 			}
 			series.Fit()
-			return printScale(cmd.OutOrStdout(), series, o.asJSON)
+			return printScale(cmd.OutOrStdout(), series, options.asJSON)
 		},
 	}
-	o.addFlags(c)
-	return c
+	options.addFlags(command)
+	return command
 }
 
-func (o *scaleOptions) addFlags(c *cobra.Command) {
-	f := c.Flags()
-	f.IntSliceVar(&o.workers, "workers", []int{100}, "hollow workers, one number for each rung")
-	f.IntVar(&o.plan.Controllers, "controllers", 3, "controllers, 1 to 19")
-	f.IntVar(&o.plan.Teams, "teams", 12, "teams, 1 to 250")
-	f.Float64SliceVar(&o.starts, "starts", []float64{5}, "starts of tasks a second, one number for each rung; the last holds for the rest")
-	f.IntVar(&o.plan.Tasks, "tasks", 20, "tasks of a job")
-	f.DurationVar(&o.plan.TaskRunTime, "run", 10*time.Second, "how long a task runs")
-	f.DurationVar(&o.plan.Duration, "for", 40*time.Second, "how long each rung is measured")
-	f.DurationVar(&o.plan.HeartbeatInterval, "report", 5*time.Second, "how often workers report; a lease is six times that")
-	f.Float64Var(&o.plan.StateRPS, "requests", 2000, "requests a second that the state service takes")
-	f.Float64Var(&o.plan.StateWriteRPS, "changes", 1000, "changes a second that it takes")
-	f.DurationVar(&o.plan.ChangeEvery, "change-every", 0, "switch the ranking on and change it that long after all controllers had the last change; 0: not")
-	f.IntVar(&o.plan.LostWorkers, "lose", 0, "lose so many workers at once after each measurement, and wait until their tasks run elsewhere")
-	f.BoolVar(&o.plan.Takeover, "takeover", true, "end the controller that runs most after each measurement")
-	f.StringArrayVar(&o.plan.EnableFiles, "enable", nil, "file that switches something on at all controllers; repeatable")
-	f.StringVar(&o.programFlag, "micahill", "", "the controllers' program (default: beside this one)")
-	f.StringArrayVar(&o.earlier, "add", nil, "JSON of an earlier run, whose rungs stand in the table and the fits beside the new ones; repeatable; without --workers nothing new is run")
-	f.BoolVar(&o.asJSON, "json", false, "as JSON")
+// addFlags defines the flags.
+func (options *scaleOptions) addFlags(command *cobra.Command) {
+	flags := command.Flags()
+	flags.IntSliceVar(&options.workers, "workers", []int{100}, "numbers of hollow workers, one for each rung")
+	flags.IntVar(&options.plan.Controllers, "controllers", 3, "number of controllers, 1 to 19")
+	flags.IntVar(&options.plan.Teams, "teams", 12, "number of teams, 1 to 250")
+	flags.Float64SliceVar(&options.starts, "starts", []float64{5}, "starts of tasks a second, one number for each rung; the last applies to the remaining rungs")
+	flags.IntVar(&options.plan.Tasks, "tasks", 20, "number of tasks of a job")
+	flags.DurationVar(&options.plan.TaskRunTime, "run", 10*time.Second, "how long a task runs")
+	flags.DurationVar(&options.plan.Duration, "for", 40*time.Second, "how long each rung is measured")
+	flags.DurationVar(&options.plan.HeartbeatInterval, "report", 5*time.Second, "time between two reports of a worker; a lease is six times that")
+	flags.Float64Var(&options.plan.StateRPS, "requests", 2000, "requests a second that the state service takes")
+	flags.Float64Var(&options.plan.StateWriteRPS, "changes", 1000, "changes a second that the state service takes")
+	flags.DurationVar(&options.plan.ChangeEvery, "change-every", 0, "enable the ranking and change it, with this pause after all controllers have the last change; 0: leave the ranking off")
+	flags.IntVar(&options.plan.LostWorkers, "lose", 0, "kill so many workers at once after each measurement, and wait until their tasks run elsewhere")
+	flags.BoolVar(&options.plan.Takeover, "takeover", true, "kill the controller with the most duties after each measurement")
+	flags.StringArrayVar(&options.plan.EnableFiles, "enable", nil, "file that enables a feature at all controllers; repeatable")
+	flags.StringVar(&options.programFlag, "micahill", "", "the controllers' program (default: micahill in this program's directory)")
+	flags.StringArrayVar(&options.earlier, "add", nil, "JSON file of an earlier run, whose rungs are added to the table and the fits; repeatable; without --workers no new rung is run")
+	flags.BoolVar(&options.asJSON, "json", false, "as JSON")
 }
 
-// plans are the measurements to make, each of them valid.
-func (o *scaleOptions) plans() ([]scale.Plan, error) {
-	if len(o.starts) == 0 {
+// plans returns the measurements to make, and an error if one of them is invalid.
+func (options *scaleOptions) plans() ([]scale.Plan, error) {
+	if len(options.starts) == 0 {
 		return nil, errors.New("scale: --starts: want at least one number")
 	}
-	plans := make([]scale.Plan, len(o.workers))
-	for i, n := range o.workers {
-		plans[i] = o.plan
-		plans[i].Workers, plans[i].StartsPerSecond = n, o.starts[min(i, len(o.starts)-1)]
+	plans := make([]scale.Plan, len(options.workers))
+	for i, workers := range options.workers {
+		plans[i] = options.plan
+		plans[i].Workers, plans[i].StartsPerSecond = workers, options.starts[min(i, len(options.starts)-1)]
 		if err := plans[i].Validate(); err != nil {
 			return nil, err
 		}
@@ -94,27 +97,27 @@
 	return plans, nil
 }
 
-// measure reads the earlier measurements and makes the new ones.
-func (o *scaleOptions) measure(cmd *cobra.Command, plans []scale.Plan) (*scale.Series, error) {
+// measure reads the earlier measurements and makes the new ones, in the order of the plans.
+func (options *scaleOptions) measure(cmd *cobra.Command, plans []scale.Plan) (*scale.Series, error) {
 	var series scale.Series
-	for _, name := range o.earlier {
+	for _, name := range options.earlier {
 		if err := addSeries(&series, name); err != nil {
 			return nil, err
 		}
 	}
 	for i := range plans {
-		fmt.Fprintf(o.plan.Progress, "rung %d of %d: %d workers, %g starts/s\n", i+1, len(plans), plans[i].Workers, plans[i].StartsPerSecond)
-		r, err := runMeasurement(cmd.Context(), plans[i])
+		fmt.Fprintf(options.plan.Progress, "rung %d of %d: %d workers, %g starts/s\n", i+1, len(plans), plans[i].Workers, plans[i].StartsPerSecond)
+		measurement, err := runMeasurement(cmd.Context(), plans[i])
 		if err != nil {
 			return nil, err
 		}
-		series.Measurements = append(series.Measurements, r)
+		series.Measurements = append(series.Measurements, measurement)
 	}
 	return &series, nil
 }
 
-// addSeries adds the measurements of an earlier run.
-func addSeries(l *scale.Series, name string) error {
+// addSeries appends the measurements in the JSON file of an earlier run.
+func addSeries(series *scale.Series, name string) error {
 	b, err := os.ReadFile(name)
 	if err != nil {
 		return fmt.Errorf("scale: --add: %w", err)
@@ -123,36 +126,38 @@
 	if err := json.Unmarshal(b, &earlier); err != nil {
 		return fmt.Errorf("scale: --add %s: %w", name, err)
 	}
-	l.Measurements = append(l.Measurements, earlier.Measurements...)
+	series.Measurements = append(series.Measurements, earlier.Measurements...)
 	return nil
 }
 
-// runMeasurement makes one measurement in a folder of its own, which stays if it fails.
-func runMeasurement(ctx context.Context, p scale.Plan) (*scale.Measurement, error) {
+// runMeasurement makes one measurement in a temporary directory of its own, which is kept for its
+// logs if the measurement fails.
+func runMeasurement(ctx context.Context, plan scale.Plan) (*scale.Measurement, error) {
 	dir, err := os.MkdirTemp("", "micahill-scale")
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	p.Dir = filepath.Clean(dir)
-	r, err := scale.Measure(ctx, p)
+	plan.Dir = filepath.Clean(dir)
+	measurement, err := scale.Measure(ctx, plan)
 	if err != nil {
 		return nil, err
 	}
-	return r, os.RemoveAll(dir)
+	return measurement, os.RemoveAll(dir)
 }
 
-// printScale prints the measurements and fits, and fails if a rule was broken.
-func printScale(out io.Writer, l *scale.Series, asJSON bool) error {
+// printScale prints the measurements and fits, and returns errScaleViolation if a rule was
+// broken.
+func printScale(out io.Writer, series *scale.Series, asJSON bool) error {
 	if asJSON {
-		if err := printJSON(out, l); err != nil {
+		if err := printJSON(out, series); err != nil {
 			return fmt.Errorf("scale: %w", err)
 		}
-	} else if err := l.Print(out); err != nil {
+	} else if err := series.Print(out); err != nil {
 		return err
 	}
-	for _, r := range l.Measurements {
-		if len(r.Violations) > 0 {
-			return fmt.Errorf("%w: %s", errScaleViolation, r.Violations[0])
+	for _, measurement := range series.Measurements {
+		if len(measurement.Violations) > 0 {
+			return fmt.Errorf("%w: %s", errScaleViolation, measurement.Violations[0])
 		}
 	}
 	return nil
