--- a/internal/lab/conditions/conditions_test.go
+++ b/internal/lab/conditions/conditions_test.go
@@ -9,22 +9,23 @@
 	"testing"
 )
 
-// TestListMatchesSources checks that the sources contain every condition of the list, so
-// that a stale entry is noticed. Testing all the mutants takes minutes and is started by
-// hand: micahill-lab conditions.
+// TestListMatchesSources checks that the sources contain the text of every condition of the list.
+// It fails when a change of the sources removes or duplicates such a text, so that the condition
+// could not be tested. Testing all mutants takes minutes and is started by hand: micahill-lab
+// conditions.
 func TestListMatchesSources(t *testing.T) {
-	l, err := Load(filepath.Join("..", "..", "controller", "conditions.toml"), filepath.Join("..", "..", ".."))
+	list, err := Load(filepath.Join("..", "..", "controller", "conditions.toml"), filepath.Join("..", "..", ".."))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(l.Conditions) == 0 {
+	if len(list.Conditions) == 0 {
 		t.Fatal("got an empty list, want conditions")
 	}
 }
 
-// mutantModule is a module of its own with three conditions: a test guards the first, no
-// test the second, and the sources do not build without the third. Its test TestRed is
-// known to fail, so it must not count.
+// mutantModule has the files of a module with three conditions. A test guards the first
+// condition, no test guards the second, and the sources do not build without the third. TestRed
+// always fails and is listed in KNOWN-RED.txt, so it must not count.
 var mutantModule = map[string]string{
 	"go.mod":        "module m\n\ngo 1.26\n",
 	"m.go":          "package m\n\nfunc small(n int) bool { return n > 0 && n < 10 }\n",
@@ -35,6 +36,9 @@
 	"stale.toml":    "[[condition]]\nname = \"gone\"\ninvariant = \"x\"\nfile = \"m.go\"\ntext = \"n > 7\"\n",
 }
 
+// TestMutants guards against mutants with a wrong result: a condition must not pass as guarded
+// when only a known failure or a broken build makes the tests fail, and a list whose text is gone
+// from the sources must be refused.
 func TestMutants(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range mutantModule {
@@ -42,7 +46,7 @@
 			t.Fatal(err)
 		}
 	}
-	l, err := Load(filepath.Join(dir, "list.toml"), dir)
+	list, err := Load(filepath.Join(dir, "list.toml"), dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,16 +60,16 @@
 		{name: "all", wantErr: ErrBuild},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			c := l.Conditions[i]
-			if c.Name != tt.name {
-				t.Fatalf("got condition %q, want %q", c.Name, tt.name)
+			condition := list.Conditions[i]
+			if condition.Name != tt.name {
+				t.Fatalf("got condition %q, want %q", condition.Name, tt.name)
 			}
-			r := l.TestMutant(context.Background(), c)
-			if !slices.Equal(r.Failed, tt.wantFailed) {
-				t.Errorf("got failed tests %q, want %q", r.Failed, tt.wantFailed)
+			result := list.TestMutant(context.Background(), condition)
+			if !slices.Equal(result.Failed, tt.wantFailed) {
+				t.Errorf("got failed tests %q, want %q", result.Failed, tt.wantFailed)
 			}
-			if !errors.Is(r.Err, tt.wantErr) {
-				t.Errorf("got error %v, want %v", r.Err, tt.wantErr)
+			if !errors.Is(result.Err, tt.wantErr) {
+				t.Errorf("got error %v, want %v", result.Err, tt.wantErr)
 			}
 		})
 	}
--- a/internal/lab/fleet/client.go
+++ b/internal/lab/fleet/client.go
@@ -11,14 +11,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// call sends a request to the first controller that answers.
-func (c *Cluster) call(ctx context.Context, method, path string, body any) (int, map[string]any, error) {
-	return c.callFrom(ctx, 0, method, path, body)
+// call sends a request to the first controller that answers; see callFrom.
+func (cluster *Cluster) call(ctx context.Context, method, path string, body any) (int, map[string]any, error) {
+	return cluster.callFrom(ctx, 0, method, path, body)
 }
 
-// callFrom sends a request to controller first, or the next one that answers, and returns
-// the status and the decoded body of the response.
-func (c *Cluster) callFrom(ctx context.Context, first int, method, path string, body any) (int, map[string]any, error) {
+// callFrom sends a request to the controller with index first, or to the next one that answers,
+// and returns the status and the decoded body of the response. It waits for at most three seconds
+// in all.
+func (cluster *Cluster) callFrom(ctx context.Context, first int, method, path string, body any) (int, map[string]any, error) {
 	var payload []byte
 	if body != nil {
 		var err error
@@ -29,8 +30,8 @@
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
 	var lastErr error
-	for i := range c.APIAddrs {
-		addr := c.APIAddrs[(first+i)%len(c.APIAddrs)]
+	for i := range cluster.APIAddrs {
+		addr := cluster.APIAddrs[(first+i)%len(cluster.APIAddrs)]
 		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(payload))
 		if err != nil {
 			return 0, nil, fmt.Errorf("fleet: %w", err)
@@ -42,53 +43,55 @@
 		}
 		b, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
 		resp.Body.Close()
-		var m map[string]any
+		var decoded map[string]any
 		if err == nil {
-			err = msgpack.Unmarshal(b, &m)
+			err = msgpack.Unmarshal(b, &decoded)
 		}
 		if err == nil {
-			return resp.StatusCode, m, nil
+			return resp.StatusCode, decoded, nil
 		}
 		lastErr = err
 	}
-	return 0, nil, fmt.Errorf("fleet: %s: %w", c.Name, lastErr)
+	return 0, nil, fmt.Errorf("fleet: %s: %w", cluster.Name, lastErr)
 }
 
-// Submit submits a job, and reports whether it was accepted, now or by an earlier call.
-func (c *Cluster) Submit(ctx context.Context, j Job) (accepted bool, err error) {
-	return c.SubmitAt(ctx, 0, j)
+// Submit submits a job, and reports whether the job is accepted, by this call or by an earlier
+// one. It returns an error if the job is invalid; without an error, the caller may try again.
+func (cluster *Cluster) Submit(ctx context.Context, job Job) (accepted bool, err error) {
+	return cluster.SubmitAt(ctx, 0, job)
 }
 
-// SubmitAt submits a job to controller first, or the next one that answers.
-func (c *Cluster) SubmitAt(ctx context.Context, first int, j Job) (accepted bool, err error) {
-	c.fleet.mu.Lock()
-	c.fleet.jobs[j.ID] = j
-	c.fleet.mu.Unlock()
-	if j.Workload == "" {
-		j.Workload = "lab"
+// SubmitAt is like Submit, but sends the job to the controller with index first, or to the next
+// one that answers.
+func (cluster *Cluster) SubmitAt(ctx context.Context, first int, job Job) (accepted bool, err error) {
+	cluster.fleet.mu.Lock()
+	cluster.fleet.jobs[job.ID] = job
+	cluster.fleet.mu.Unlock()
+	if job.Workload == "" {
+		job.Workload = "lab"
 	}
 	body := map[string]any{
-		"id": j.ID, "workload": j.Workload, "owner": j.Team, "shape": "array", "urgency": j.Urgency, "pieces": j.Tasks,
-		"vcpus": j.CPUs, "gpus": 0.0, "memory_gb": j.CPUs, "bundle": "img", "image_gb": 0.2, "flavours": nil, "site": nil,
-		"same_place": false, "apart": false, "loaner": true, "expected_s": j.RunTime.Seconds(), "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil,
+		"id": job.ID, "workload": job.Workload, "owner": job.Team, "shape": "array", "urgency": job.Urgency, "pieces": job.Tasks,
+		"vcpus": job.CPUs, "gpus": 0.0, "memory_gb": job.CPUs, "bundle": "img", "image_gb": 0.2, "flavours": nil, "site": nil,
+		"same_place": false, "apart": false, "loaner": true, "expected_s": job.RunTime.Seconds(), "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil,
 	}
-	if j.Standing {
+	if job.Standing {
 		body["shape"], body["expected_s"] = "standing", 0.0
 	}
-	if j.Deadline > 0 {
-		body["due_s"] = j.Deadline.Seconds()
+	if job.Deadline > 0 {
+		body["due_s"] = job.Deadline.Seconds()
 	}
-	status, response, err := c.callFrom(ctx, first, http.MethodPost, "/v2/runs", body)
+	status, response, err := cluster.callFrom(ctx, first, http.MethodPost, "/v2/runs", body)
 	if err == nil && status/100 == 4 && status != http.StatusTooManyRequests {
-		return false, fmt.Errorf("fleet: %s: %d %v", j.ID, status, response["error"])
+		return false, fmt.Errorf("fleet: %s: %d %v", job.ID, status, response["error"])
 	}
 	return status == http.StatusOK || status == http.StatusCreated, nil
 }
 
-// Query returns a job's HTTP status and state as its user sees them. The status is 0 if no
-// controller answered.
-func (c *Cluster) Query(ctx context.Context, id string) (status int, state string) {
-	code, response, err := c.call(ctx, http.MethodGet, "/v2/runs/"+id, nil)
+// Query returns the HTTP status and the state of a job, as its user sees them. The status is 0 if
+// no controller answers.
+func (cluster *Cluster) Query(ctx context.Context, id string) (status int, state string) {
+	code, response, err := cluster.call(ctx, http.MethodGet, "/v2/runs/"+id, nil)
 	if err != nil {
 		return 0, ""
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet starts whole clusters on loopback for experiments: real controller
-// processes, and the simulated state service, cloud and workers of package simulation.
-// Nothing outside this machine is touched.
+// Package fleet starts whole clusters on loopback for experiments: real controller processes, and
+// the simulated state service, cloud and workers of package simulation. All traffic stays on this
+// machine.
 package fleet
 
 import (
@@ -21,44 +21,44 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// Options say what to start.
+// Options are the parameters of Start.
 type Options struct {
 	// Program is the path of the controller's executable.
 	Program string
 	// Dir is an empty directory for settings, keys and logs.
 	Dir string
-	// Clusters is the number of clusters, and Controllers that of each one's controllers.
+	// Clusters is the number of clusters, and Controllers the number of controllers of each.
 	Clusters, Controllers int
-	// Machines is the number of machines that each cluster's cloud has. The last
-	// element holds for the clusters after it too; empty means 20.
+	// Machines is the number of machines that each cluster's cloud has. The last element applies
+	// to the remaining clusters too; empty means 20.
 	Machines []int
 	// Overflow enables lending between the clusters.
 	Overflow bool
-	// EnableFiles are passed to all controllers with --enable, like those under deploy/.
+	// EnableFiles are passed to all controllers with --enable, such as the files under deploy/.
 	EnableFiles []string
 	// LogLevel is the LOG_LEVEL of the controllers.
 	LogLevel string
-	// Deployment describes the environment; nil means DefaultDeployment.
+	// Deployment describes the environment of each cluster; nil means DefaultDeployment.
 	Deployment *Deployment
 }
 
-// Deployment describes the environment of a cluster. The controllers are configured with
-// it, and the simulated services keep to it.
+// Deployment describes the environment of a cluster. The controllers are configured with it, and
+// the simulated services have these properties.
 type Deployment struct {
 	Teams                                        []string
 	HeartbeatInterval, WorkerLease, CancelWithin time.Duration
-	// StateRPS and StateWriteRPS are the requests and the writes a second that the state
-	// service takes. ValueKB and TxnOps are its limits of a value and of a transaction.
+	// StateRPS and StateWriteRPS are the requests and the writes a second that the state service
+	// accepts. ValueKB is the largest value and TxnOps the most operations of a transaction.
 	StateRPS, StateWriteRPS, ValueKB float64
 	TxnOps                           int
-	// CloudRPS is the calls a second that the cloud takes.
+	// CloudRPS is the calls a second that the cloud accepts.
 	CloudRPS float64
-	// CPU (cores), MemoryMB and Sockets are a controller's quota.
+	// CPU (in cores), MemoryMB and Sockets are the quota of a controller.
 	CPU, MemoryMB float64
 	Sockets       int
 }
 
-// DefaultDeployment returns a small environment, for a hundred machines.
+// DefaultDeployment returns the deployment of a small cluster, with about a hundred machines.
 func DefaultDeployment() Deployment {
 	return Deployment{
 		Teams: []string{"ops", "guests"}, HeartbeatInterval: time.Second, WorkerLease: 6 * time.Second, CancelWithin: 20 * time.Second,
@@ -66,10 +66,10 @@
 	}
 }
 
-// maxControllers is the most controllers of a cluster.
+// maxControllers is the largest number of controllers of a cluster.
 const maxControllers = 19
 
-// clusterNames are the names of the clusters, which also bound their number.
+// clusterNames are the names of the clusters. Their number is the largest number of clusters.
 var clusterNames = []string{"east", "west", "north", "south", "centre"}
 
 // Fleet is a set of running clusters.
@@ -78,8 +78,8 @@
 	options  Options
 	cancel   context.CancelFunc
 
-	// jobs holds every submitted job by its ID at home, from which workers learn what to
-	// run. Guarded by mu.
+	// jobs holds every submitted job by its ID at home. Workers learn from it what to run.
+	// Guarded by mu.
 	mu   sync.Mutex
 	jobs map[string]Job
 }
@@ -87,21 +87,23 @@
 // Job is a job as its user describes it. All its tasks are alike.
 type Job struct {
 	ID, Team string
-	// Workload is the class of its work; empty means "lab".
+	// Workload is the class of the job; empty means "lab".
 	Workload string
 	Tasks    int
-	// CPUs of each task, which needs as many GB of memory.
-	CPUs    float64
+	// CPUs is the number of CPUs of each task, which needs as many GB of memory.
+	CPUs float64
+	// RunTime is how long each task runs.
 	RunTime time.Duration
 	// Deadline is relative to the submission; 0 means none.
 	Deadline time.Duration
 	Urgency  string
-	// Standing means that its tasks run until it is cancelled.
+	// Standing means that the tasks run until the job is cancelled.
 	Standing bool
 }
 
-// ErrTooLarge means that Options ask for none, or for more than one machine can run.
-var ErrTooLarge = errors.New("fleet: at most 5 clusters of at most 19 controllers")
+// ErrTooLarge means that Options ask for no cluster or controller, or for more than one machine
+// can run.
+var ErrTooLarge = errors.New("fleet: want 1 to 5 clusters of 1 to 19 controllers")
 
 // Start starts the clusters and waits until they are healthy. The caller has to call Stop.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
@@ -115,8 +117,8 @@
 	if _, err := os.Stat(options.Program); err != nil {
 		return nil, fmt.Errorf("fleet: controller program: %w; build it first (see README.md)", err)
 	}
-	for _, x := range options.EnableFiles {
-		if _, err := os.Stat(x); err != nil {
+	for _, enableFile := range options.EnableFiles {
+		if _, err := os.Stat(enableFile); err != nil {
 			return nil, fmt.Errorf("fleet: file to enable: %w", err)
 		}
 	}
@@ -129,10 +131,12 @@
 	return fleet, nil
 }
 
-func (f *Fleet) start(ctx context.Context) error {
-	ca := filepath.Join(f.options.Dir, "ca")
-	if f.options.Overflow {
-		if err := certs.Init(ca, time.Now()); err != nil {
+// start starts the simulated services and the controllers, and waits until every cluster is
+// healthy.
+func (fleet *Fleet) start(ctx context.Context) error {
+	caDir := filepath.Join(fleet.options.Dir, "ca")
+	if fleet.options.Overflow {
+		if err := certs.Init(caDir, time.Now()); err != nil {
 			return err
 		}
 	}
@@ -140,68 +144,69 @@
 		Name: "box", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 2, CostPerHour: 0.2, SpotCostPerHour: 0.07,
 		ProvisioningTime: 2 * time.Second, Zones: []string{"a"},
 	}}
-	deployment := f.options.Deployment
+	deployment := fleet.options.Deployment
 	settings := controller.Settings{HeartbeatInterval: deployment.HeartbeatInterval, WorkerLease: deployment.WorkerLease, CloudListLag: time.Second}
-	for i, name := range clusterNames[:f.options.Clusters] {
-		c := &Cluster{Name: name, fleet: f, dir: filepath.Join(f.options.Dir, name), procs: make([]*exec.Cmd, f.options.Controllers)}
-		if err := os.MkdirAll(c.dir, 0o700); err != nil {
+	for i, name := range clusterNames[:fleet.options.Clusters] {
+		cluster := &Cluster{Name: name, fleet: fleet, dir: filepath.Join(fleet.options.Dir, name), procs: make([]*exec.Cmd, fleet.options.Controllers)}
+		if err := os.MkdirAll(cluster.dir, 0o700); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
-		for range f.options.Controllers {
-			for _, addrs := range []*[]string{&c.APIAddrs, &c.InternalAddrs, &c.OverflowAddrs} {
-				a, err := listen.FreeAddr()
+		for range fleet.options.Controllers {
+			for _, addrs := range []*[]string{&cluster.APIAddrs, &cluster.InternalAddrs, &cluster.OverflowAddrs} {
+				addr, err := listen.FreeAddr()
 				if err != nil {
 					return err
 				}
-				*addrs = append(*addrs, a)
+				*addrs = append(*addrs, addr)
 			}
 		}
 		machines := 20
-		if n := len(f.options.Machines); n > 0 {
-			machines = f.options.Machines[min(i, n-1)]
+		if n := len(fleet.options.Machines); n > 0 {
+			machines = fleet.options.Machines[min(i, n-1)]
 		}
-		c.Live = simulation.NewLive(settings, deployment.StateRPS, deployment.StateWriteRPS, types, map[string]int{"box/a/true": machines}, c.APIAddrs)
-		c.Live.SetJobSource(f.describeJob)
-		go c.Live.Run(ctx)
-		if f.options.Overflow {
-			if err := certs.Issue(ca, name, filepath.Join(c.dir, "keys"), certs.CertValidity, time.Now()); err != nil {
+		cluster.Live = simulation.NewLive(settings, deployment.StateRPS, deployment.StateWriteRPS, types, map[string]int{"box/a/true": machines}, cluster.APIAddrs)
+		cluster.Live.SetJobSource(fleet.describeJob)
+		go cluster.Live.Run(ctx)
+		if fleet.options.Overflow {
+			if err := certs.Issue(caDir, name, filepath.Join(cluster.dir, "keys"), certs.CertValidity, time.Now()); err != nil {
 				return err
 			}
 		}
-		f.Clusters = append(f.Clusters, c)
+		fleet.Clusters = append(fleet.Clusters, cluster)
 	}
-	for _, c := range f.Clusters {
-		for i := range c.procs {
-			if err := c.writeConfig(i); err != nil {
+	for _, cluster := range fleet.Clusters {
+		for i := range cluster.procs {
+			if err := cluster.writeConfig(i); err != nil {
 				return err
 			}
-			if err := c.Start(i); err != nil {
+			if err := cluster.Start(i); err != nil {
 				return err
 			}
 		}
 	}
-	for _, c := range f.Clusters {
-		if err := c.waitHealthy(ctx, 20*time.Second); err != nil {
+	for _, cluster := range fleet.Clusters {
+		if err := cluster.waitHealthy(ctx, 20*time.Second); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// describeJob returns what a worker has to know of a job, which may have the ID that it was
-// lent under. It is false for an unknown job.
-func (f *Fleet) describeJob(id string) (model.JobSpec, time.Duration, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// describeJob returns the specification of a job and the run time of its tasks, which workers
+// have to know. id may be the ID under which the job was lent. It returns false for an unknown
+// job.
+func (fleet *Fleet) describeJob(id string) (model.JobSpec, time.Duration, bool) {
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
 	original := id
 	if strings.HasPrefix(id, "job-lent-") {
 		original = OriginalID(id)
 	}
-	j, ok := f.jobs[original]
-	return model.JobSpec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: model.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: j.Standing}, j.RunTime, ok
+	job, ok := fleet.jobs[original]
+	return model.JobSpec{ID: id, Team: job.Team, Tasks: job.Tasks, Need: model.Resources{CPU: job.CPUs, Memory: job.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: job.Standing}, job.RunTime, ok
 }
 
-// OriginalID returns the ID that a lent job has in its own cluster.
+// OriginalID returns the ID that a lent job has in its home cluster.
 func OriginalID(lentID string) string {
 	// The form is job-lent-CLUSTER-N-REST, and no name of a cluster contains a dash.
 	parts := strings.SplitN(strings.TrimPrefix(lentID, "job-lent-"), "-", 3)
@@ -209,14 +214,14 @@
 }
 
 // Stop kills all controllers and stops the simulated services.
-func (f *Fleet) Stop() {
-	for _, c := range f.Clusters {
-		for i := range c.procs {
-			c.Kill(i)
+func (fleet *Fleet) Stop() {
+	for _, cluster := range fleet.Clusters {
+		for i := range cluster.procs {
+			cluster.Kill(i)
 		}
 	}
-	f.cancel()
-	for _, c := range f.Clusters {
-		c.Live.Stop()
+	fleet.cancel()
+	for _, cluster := range fleet.Clusters {
+		cluster.Live.Stop()
 	}
 }
--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -4,36 +4,38 @@
 
 // Fit is a line, or a plane, through measured points by least squares.
 type Fit struct {
-	// Figure names what was fitted.
-	Figure    string    `json:"of"`
+	// Figure names the quantity that was fitted.
+	Figure string `json:"of"`
+	// Intercept is the value at zero, and Slopes has an element for each independent variable.
 	Intercept float64   `json:"base"`
 	Slopes    []float64 `json:"slopes"`
-	// Residual is the root mean square of the residuals, and Points their number.
+	// Residual is the root mean square of the residuals, and Points the number of measured
+	// points.
 	Residual float64 `json:"residual"`
 	Points   int     `json:"points"`
 }
 
 // Predict returns the fitted value at x, which has an element for each slope.
-func (f *Fit) Predict(x ...float64) float64 {
-	y := f.Intercept
-	for i, s := range f.Slopes {
-		y += s * x[i]
+func (fit *Fit) Predict(x ...float64) float64 {
+	y := fit.Intercept
+	for i, slope := range fit.Slopes {
+		y += slope * x[i]
 	}
 	return y
 }
 
-// minPivot is the least pivot of the scaled normal equations, for each of their rows. Below
-// it the columns are taken to be linearly dependent.
+// minPivot is the least pivot of the scaled normal equations, divided by their number of rows.
+// With a smaller pivot the columns are taken to be linearly dependent.
 const minPivot = 1e-9
 
-// FitLine fits y to the columns of x. It returns false if there are too few points, or if
-// the columns are linearly dependent, so that the slopes are not determined.
+// FitLine fits y to the columns of x by least squares. It returns false if there are too few
+// points, or if the columns are linearly dependent, so that the slopes are not determined.
 func FitLine(figure string, x [][]float64, y []float64) (Fit, bool) {
 	if len(y) == 0 || len(y) <= len(x[0])+1 {
 		return Fit{}, false
 	}
 	size := len(x[0]) + 1
-	// The columns are scaled to the same size, so that pivots can be compared with minPivot.
+	// The columns are scaled to the same magnitude, so that pivots can be compared with minPivot.
 	scale := make([]float64, size)
 	scale[0] = 1
 	for _, row := range x {
@@ -75,34 +77,34 @@
 	return out, true
 }
 
-// solveInPlace solves linear equations, given as rows with the right side in the last
-// column, by Gauss-Jordan elimination. The solution replaces the last column. It returns
-// false if the equations are singular.
-func solveInPlace(m [][]float64) bool {
-	size := len(m)
+// solveInPlace solves linear equations by Gauss-Jordan elimination. Each row has the right side
+// in its last column, where the solution replaces it. It returns false if the equations are
+// singular.
+func solveInPlace(matrix [][]float64) bool {
+	size := len(matrix)
 	for column := range size {
 		best := column
 		for row := column + 1; row < size; row++ {
-			if math.Abs(m[row][column]) > math.Abs(m[best][column]) {
+			if math.Abs(matrix[row][column]) > math.Abs(matrix[best][column]) {
 				best = row
 			}
 		}
-		m[column], m[best] = m[best], m[column]
-		if math.Abs(m[column][column]) < minPivot*float64(size) {
+		matrix[column], matrix[best] = matrix[best], matrix[column]
+		if math.Abs(matrix[column][column]) < minPivot*float64(size) {
 			return false
 		}
 		for row := range size {
 			if row == column {
 				continue
 			}
-			f := m[row][column] / m[column][column]
+			factor := matrix[row][column] / matrix[column][column]
 			for i := column; i <= size; i++ {
-				m[row][i] -= f * m[column][i]
+				matrix[row][i] -= factor * matrix[column][i]
 			}
 		}
 	}
 	for column := range size {
-		m[column][size] /= m[column][column]
+		matrix[column][size] /= matrix[column][column]
 	}
 	return true
 }
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -1,5 +1,6 @@
-// Package scale measures what controllers of each role take in clusters of growing size on
-// loopback, with real controllers and simulated workers, and fits lines through the results.
+// Package scale measures the resources that controllers of each role use in clusters of growing
+// size on loopback, with real controllers and simulated workers, and fits lines through the
+// results.
 package scale
 
 import (
@@ -16,22 +17,22 @@
 // Plan describes one measurement: a cluster and its workload.
 type Plan struct {
 	Workers, Controllers, Teams int
-	// StartsPerSecond is the rate of task starts. They come in jobs of Tasks tasks that run
-	// for TaskRunTime each.
+	// StartsPerSecond is the rate of task starts. Jobs have Tasks tasks, each of which runs for
+	// TaskRunTime.
 	StartsPerSecond float64
 	Tasks           int
 	TaskRunTime     time.Duration
-	// Duration is how long is measured, after all workers are up.
+	// Duration is how long the measurement lasts, after all workers are up.
 	Duration          time.Duration
 	HeartbeatInterval time.Duration
-	// StateRPS and StateWriteRPS are the requests and the writes a second that the state
-	// service takes.
+	// StateRPS and StateWriteRPS are the requests and the writes a second that the state service
+	// accepts.
 	StateRPS, StateWriteRPS float64
-	// ChangeEvery is the pause between changes of the ranking; 0 leaves the ranking off.
+	// ChangeEvery is the pause between changes of the ranking; 0 leaves the ranking disabled.
 	ChangeEvery time.Duration
-	// LostWorkers is how many workers are killed at once after the measurement.
+	// LostWorkers is the number of workers that are killed at once after the measurement.
 	LostWorkers int
-	// Takeover says that a controller is killed at the end.
+	// Takeover says whether a controller is killed at the end.
 	Takeover bool
 	// Program is the path of the controller's executable, and Dir an empty directory.
 	Program, Dir string
@@ -41,93 +42,97 @@
 	Progress io.Writer
 }
 
-// Limits of a measurement, and the resources that workers and controllers are expected to
-// take, which are checked before anything starts. The estimates of memory are generous;
-// checkAlive checks the memory again during the measurement.
+// Limits of a measurement, and estimates of the resources that workers and controllers use.
+// Plan.Validate checks them before any process starts. The estimates of memory are generous;
+// checkAlive checks the memory that is in use during the measurement.
 const (
 	maxControllers = 19
 	maxWorkers     = 12000
 	maxDuration    = 15 * time.Minute
-	// filesPerWorker are a listener, the connection of its heartbeats and that of its
-	// commands.
+	// filesPerWorker is the number of open files for a worker: a listener, the connection of its
+	// heartbeats and that of its commands.
 	filesPerWorker = 3
-	// spareFiles are left for everything that is not a worker.
-	spareFiles      = 300
+	// spareFiles is the number of open files for all other purposes.
+	spareFiles = 300
+	// mbPerWorker is the memory of a simulated worker in this process, and mbPerController that of a
+	// controller without workers, in MB.
 	mbPerWorker     = 0.2
 	mbPerController = 60
-	// mbPerOwnedWorker is what the shard leader of a worker takes for it.
+	// mbPerOwnedWorker is the memory that the shard leader of a worker needs for it, in MB.
 	mbPerOwnedWorker = 0.12
-	// memoryFraction is the part of the machine's memory that all processes may take.
+	// memoryFraction is the fraction of the machine's memory that all processes together may use.
 	memoryFraction = 0.5
 )
 
-// ErrPlan is wrapped by the error of a plan that is out of its limits.
+// ErrPlan is wrapped by the errors of invalid plans.
 var ErrPlan = errors.New("scale")
 
+// planError returns an error that wraps ErrPlan.
 func planError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrPlan, fmt.Sprintf(format, args...))
 }
 
-// Validate checks a plan, and what it needs against the limits of this machine. Errors name
-// the flag of the command line to change.
-func (p *Plan) Validate() error {
+// Validate checks the plan, and the resources that it needs against the limits of this machine.
+// Errors name the command-line flag to change.
+func (plan *Plan) Validate() error {
 	switch {
-	case p.Workers < 1 || p.Workers > maxWorkers:
-		return planError("--workers %d: want 1 to %d", p.Workers, maxWorkers)
-	case p.Controllers < 1 || p.Controllers > maxControllers:
-		return planError("--controllers %d: want 1 to %d", p.Controllers, maxControllers)
-	case p.Teams < 1 || p.Teams > 250 || p.Teams > p.Workers:
-		return planError("--teams %d: want 1 to 250, and no more than workers", p.Teams)
-	case p.Tasks < 1 || p.Tasks > 1000:
-		return planError("--tasks %d: want 1 to 1000", p.Tasks)
-	case p.TaskRunTime < time.Second:
-		return planError("--run %s: want at least 1s", p.TaskRunTime)
-	case p.StartsPerSecond < 0 || p.StartsPerSecond*p.TaskRunTime.Seconds() > float64(p.Workers)*maxArrayTasksPerWorker:
-		return planError("--starts %g: tasks of %s come to more than %d for each of %d workers; fewer starts, a shorter --run or more workers would do", p.StartsPerSecond, p.TaskRunTime, maxArrayTasksPerWorker, p.Workers)
-	case p.Duration < time.Second || p.Duration > maxDuration:
-		return planError("--for %s: want 1s to %s", p.Duration, maxDuration)
-	case p.HeartbeatInterval < 500*time.Millisecond || p.HeartbeatInterval > time.Minute:
-		return planError("--report %s: want 500ms to 1m", p.HeartbeatInterval)
-	case p.LostWorkers < 0 || p.LostWorkers > p.Workers/2:
-		return planError("--lose %d: want 0 to half of the workers", p.LostWorkers)
-	case p.ChangeEvery < 0:
-		return planError("--change-every %s: want 0 for none, or a time", p.ChangeEvery)
-	case p.StateRPS < 10 || p.StateWriteRPS < 4:
-		return planError("--requests %g, --changes %g: want at least 10 and 4", p.StateRPS, p.StateWriteRPS)
+	case plan.Workers < 1 || plan.Workers > maxWorkers:
+		return planError("--workers %d: want 1 to %d", plan.Workers, maxWorkers)
+	case plan.Controllers < 1 || plan.Controllers > maxControllers:
+		return planError("--controllers %d: want 1 to %d", plan.Controllers, maxControllers)
+	case plan.Teams < 1 || plan.Teams > 250 || plan.Teams > plan.Workers:
+		return planError("--teams %d: want 1 to 250, and no more than --workers", plan.Teams)
+	case plan.Tasks < 1 || plan.Tasks > 1000:
+		return planError("--tasks %d: want 1 to 1000", plan.Tasks)
+	case plan.TaskRunTime < time.Second:
+		return planError("--run %s: want at least 1s", plan.TaskRunTime)
+	case plan.StartsPerSecond < 0 || plan.StartsPerSecond*plan.TaskRunTime.Seconds() > float64(plan.Workers)*maxArrayTasksPerWorker:
+		return planError("--starts %g: with tasks of %s more than %d run at a time on each of %d workers; want fewer --starts, a shorter --run or more --workers", plan.StartsPerSecond, plan.TaskRunTime, maxArrayTasksPerWorker, plan.Workers)
+	case plan.Duration < time.Second || plan.Duration > maxDuration:
+		return planError("--for %s: want 1s to %s", plan.Duration, maxDuration)
+	case plan.HeartbeatInterval < 500*time.Millisecond || plan.HeartbeatInterval > time.Minute:
+		return planError("--report %s: want 500ms to 1m", plan.HeartbeatInterval)
+	case plan.LostWorkers < 0 || plan.LostWorkers > plan.Workers/2:
+		return planError("--lose %d: want 0 to half of --workers", plan.LostWorkers)
+	case plan.ChangeEvery < 0:
+		return planError("--change-every %s: want 0 for none, or a positive duration", plan.ChangeEvery)
+	case plan.StateRPS < 10 || plan.StateWriteRPS < 4:
+		return planError("--requests %g, --changes %g: want at least 10 and 4", plan.StateRPS, plan.StateWriteRPS)
 	}
 	var files syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
-		return planError("limit of open files: %v", err)
+		return planError("read the limit of open files: %v", err)
 	}
-	if need := uint64(p.Workers*filesPerWorker + spareFiles); need > files.Cur {
-		return planError("--workers %d: needs %d open files of %d; at most %d workers would do", p.Workers, need, files.Cur, (int(files.Cur)-spareFiles)/filesPerWorker)
+	if need := uint64(plan.Workers*filesPerWorker + spareFiles); need > files.Cur {
+		return planError("--workers %d: needs %d open files, the limit is %d; want at most %d workers", plan.Workers, need, files.Cur, (int(files.Cur)-spareFiles)/filesPerWorker)
 	}
 	available, err := availableMemoryMB()
 	if err != nil {
 		return err
 	}
-	if need := p.memoryMB(); need > available {
-		return planError("--workers %d, --controllers %d: reckoned to take %.0f MB of memory, and half of what is there is %.0f; fewer would do", p.Workers, p.Controllers, need, available)
+	if need := plan.memoryMB(); need > available {
+		return planError("--workers %d, --controllers %d: estimated to need %.0f MB of memory, the limit is half of the available memory, %.0f MB; want fewer of them", plan.Workers, plan.Controllers, need, available)
 	}
 	return nil
 }
 
-// memoryMB estimates the memory of all processes.
-func (p *Plan) memoryMB() float64 {
-	n, w := float64(p.Controllers), float64(p.Workers)
-	return w*mbPerWorker + n*mbPerController + w*mbPerOwnedWorker
+// memoryMB estimates the memory of all processes in MB.
+func (plan *Plan) memoryMB() float64 {
+	controllers, workers := float64(plan.Controllers), float64(plan.Workers)
+	return workers*mbPerWorker + controllers*mbPerController + workers*mbPerOwnedWorker
 }
 
-// availableMemoryMB returns the part of the available memory that a measurement may take.
+// availableMemoryMB returns the part of the available memory that a measurement may use, in MB.
 func availableMemoryMB() (float64, error) {
-	m, err := readNumericFields("/proc/meminfo")
+	meminfo, err := readNumericFields("/proc/meminfo")
 	if err != nil {
 		return 0, err
 	}
-	return memoryFraction * m["MemAvailable"] / 1024, nil
+	return memoryFraction * meminfo["MemAvailable"] / 1024, nil
 }
 
-// A machine has capacity for one task of a service and maxArrayTasksPerWorker of arrays.
+// The capacity of a machine and the CPUs of a task: a machine has capacity for one task of a
+// service and maxArrayTasksPerWorker tasks of arrays.
 const (
 	machineCPUs            = 4
 	serviceTaskCPUs        = 3
@@ -136,19 +141,20 @@
 )
 
 // deployment returns the environment of the cluster. Each controller has a quota of one core.
-func (p *Plan) deployment() *fleet.Deployment {
+func (plan *Plan) deployment() *fleet.Deployment {
 	deployment := fleet.DefaultDeployment()
 	deployment.Teams = nil
-	for i := range p.Teams {
+	for i := range plan.Teams {
 		deployment.Teams = append(deployment.Teams, teamName(i))
 	}
-	deployment.HeartbeatInterval, deployment.WorkerLease, deployment.CancelWithin = p.HeartbeatInterval, heartbeatsPerLease*p.HeartbeatInterval, 2*heartbeatsPerLease*p.HeartbeatInterval
-	deployment.StateRPS, deployment.StateWriteRPS, deployment.ValueKB = p.StateRPS, p.StateWriteRPS, 16
-	deployment.CloudRPS, deployment.MemoryMB, deployment.Sockets = 20, math.Max(512, 0.2*float64(p.Workers)), 2*p.Workers+1000
+	deployment.HeartbeatInterval, deployment.WorkerLease, deployment.CancelWithin = plan.HeartbeatInterval, heartbeatsPerLease*plan.HeartbeatInterval, 2*heartbeatsPerLease*plan.HeartbeatInterval
+	deployment.StateRPS, deployment.StateWriteRPS, deployment.ValueKB = plan.StateRPS, plan.StateWriteRPS, 16
+	deployment.CloudRPS, deployment.MemoryMB, deployment.Sockets = 20, math.Max(512, 0.2*float64(plan.Workers)), 2*plan.Workers+1000
 	return &deployment
 }
 
-// heartbeatsPerLease is the worker lease in heartbeat intervals.
+// heartbeatsPerLease is the worker lease, in heartbeat intervals.
 const heartbeatsPerLease = 6
 
+// teamName returns the name of the i-th team.
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
--- a/internal/lab/scale/proc.go
+++ b/internal/lab/scale/proc.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// clockTicks is the clock ticks a second in /proc, which is 100 on all architectures that
+// clockTicks is the number of clock ticks a second in /proc. It is 100 on all architectures that
 // Linux supports (USER_HZ, see proc(5)).
 const clockTicks = 100
 
@@ -16,11 +16,12 @@
 	cpuSeconds         float64
 	rssMB, peakMB      float64
 	openFiles, threads int
-	// exited means that the process has exited, and may not have been waited for.
+	// exited means that the process has exited. Its parent may not have waited for it yet.
 	exited bool
 }
 
-// readProcess reads /proc for a process. A process that has gone is an error, with exited set.
+// readProcess reads the statistics of a process from /proc. If the process does not exist it
+// returns an error, and exited is set.
 func readProcess(pid int) (processStats, error) {
 	var stats processStats
 	dir := fmt.Sprintf("/proc/%d/", pid)
@@ -28,11 +29,11 @@
 	if err != nil {
 		return processStats{exited: true}, fmt.Errorf("scale: %w", err)
 	}
-	// The name of the program comes first, in parentheses, and may contain spaces.
+	// The name of the program precedes the fields, in parentheses, and may contain spaces.
 	_, rest, _ := strings.Cut(string(b), ") ")
 	parts := strings.Fields(rest)
 	if len(parts) < 13 {
-		return stats, fmt.Errorf("scale: %sstat has %d fields", dir, len(parts))
+		return stats, fmt.Errorf("scale: %sstat has %d fields after the program name, want at least 13", dir, len(parts))
 	}
 	stats.exited = parts[0] == "Z" || parts[0] == "X"
 	user, _ := strconv.ParseFloat(parts[11], 64)
@@ -52,7 +53,8 @@
 	return stats, nil
 }
 
-// readNumericFields reads the first number of each line such as "VmRSS:  1234 kB" by its name.
+// readNumericFields reads a file of lines such as "VmRSS: 1234 kB", and returns the first number
+// of each line by the name before the colon.
 func readNumericFields(path string) (map[string]float64, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -12,6 +12,7 @@
 	"time"
 )
 
+// smallPlan returns a valid plan of a small cluster that uses every kind of measurement.
 func smallPlan(t *testing.T) Plan {
 	t.Helper()
 	return Plan{
@@ -20,96 +21,102 @@
 	}
 }
 
-// TestMeasurement measures a tiny cluster of real controllers, of which one is killed. It
-// checks that the counts fit together, and no times, which depend on what else runs.
+// TestMeasurement measures a small cluster of real controllers, one of which is killed. It guards
+// against measurements that miss workers, roles, counters or a phase. It checks that the counts
+// agree with each other, and no times, which depend on the load of the machine.
 func TestMeasurement(t *testing.T) {
-	p := smallPlan(t)
-	p.Program = filepath.Join(t.TempDir(), "micahill")
-	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", p.Program, "github.com/micahill/micahill/cmd/micahill").CombinedOutput(); err != nil {
+	plan := smallPlan(t)
+	plan.Program = filepath.Join(t.TempDir(), "micahill")
+	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", plan.Program, "github.com/micahill/micahill/cmd/micahill").CombinedOutput(); err != nil {
 		t.Fatalf("go build: %v\n%s", err, out)
 	}
-	r, err := Measure(context.Background(), p)
+	measurement, err := Measure(context.Background(), plan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r.WorkersUp != p.Workers || r.TasksRunning < p.Workers {
-		t.Errorf("got %d workers up with %d tasks, want %d workers with at least as many", r.WorkersUp, r.TasksRunning, p.Workers)
+	if measurement.WorkersUp != plan.Workers || measurement.TasksRunning < plan.Workers {
+		t.Errorf("got %d workers up with %d tasks, want %d workers with at least as many", measurement.WorkersUp, measurement.TasksRunning, plan.Workers)
 	}
-	if len(r.Violations) > 0 {
-		t.Errorf("got violations %q, want none", r.Violations)
+	if len(measurement.Violations) > 0 {
+		t.Errorf("got violations %q, want none", measurement.Violations)
 	}
 	teams, leaders, files := 0, 0, 0
-	for _, x := range r.Roles {
-		teams, files = teams+x.Teams, files+x.Files
-		if strings.HasPrefix(x.Role, "leader") {
+	for _, role := range measurement.Roles {
+		teams, files = teams+role.Teams, files+role.Files
+		if strings.HasPrefix(role.Role, "leader") {
 			leaders++
 		}
-		if x.RSSMB <= 0 {
-			t.Errorf("%s: got %v MB of memory, want some", x.Host, x.RSSMB)
+		if role.RSSMB <= 0 {
+			t.Errorf("%s: got %v MB of memory, want some", role.Host, role.RSSMB)
 		}
 	}
-	if teams != p.Teams || leaders != 1 || files < p.Workers {
-		t.Errorf("got %d teams run, %d leaders, %d open files; want %d, 1, at least %d", teams, leaders, files, p.Teams, p.Workers)
+	if teams != plan.Teams || leaders != 1 || files < plan.Workers {
+		t.Errorf("got %d teams run, %d leaders, %d open files; want %d, 1, at least %d", teams, leaders, files, plan.Teams, plan.Workers)
 	}
-	if r.HeartbeatsPerSecond == 0 || r.HeartbeatKB == 0 || r.StartsPerSecond == 0 || r.RequestsByKind["multi"] == 0 || r.StateWriteRPS < r.RequestsByKind["multi"]-r.RequestsByKind["renew"]-1 {
-		t.Errorf("got rates %+v, want all above 0 and no fewer writes than transactions", r)
+	if measurement.HeartbeatsPerSecond == 0 || measurement.HeartbeatKB == 0 || measurement.StartsPerSecond == 0 || measurement.RequestsByKind["multi"] == 0 || measurement.StateWriteRPS < measurement.RequestsByKind["multi"]-measurement.RequestsByKind["renew"]-1 {
+		t.Errorf("got rates %+v, want all above 0 and no fewer writes than transactions", measurement)
 	}
-	if r.UrgentStartLatency.Count == 0 || r.UrgentStartLatency.Unfinished > 0 || r.AcceptLatency.Count == 0 {
-		t.Errorf("got urgent starts %+v, accepts %+v, want some and all urgent ones in time", r.UrgentStartLatency, r.AcceptLatency)
+	if measurement.UrgentStartLatency.Count == 0 || measurement.UrgentStartLatency.Unfinished > 0 || measurement.AcceptLatency.Count == 0 {
+		t.Errorf("got urgent starts %+v, accepts %+v, want some and all urgent ones in time", measurement.UrgentStartLatency, measurement.AcceptLatency)
 	}
-	if r.RecoveryS == 0 {
+	if measurement.RecoveryS == 0 {
 		t.Error("got a recovery time of 0 after the loss of workers, want more")
 	}
-	if r.RankingLatency.Count == 0 || r.RankingLatency.Unfinished > 0 {
-		t.Errorf("got changes of the ranking %+v, want some, all in time", r.RankingLatency)
+	if measurement.RankingLatency.Count == 0 || measurement.RankingLatency.Unfinished > 0 {
+		t.Errorf("got changes of the ranking %+v, want some, all in time", measurement.RankingLatency)
 	}
-	if k := r.Takeover; k == nil || k.FirstStartS <= 0 {
-		t.Errorf("got takeover %+v, want a first start", k)
+	if takeover := measurement.Takeover; takeover == nil || takeover.FirstStartS <= 0 {
+		t.Errorf("got takeover %+v, want a first start", takeover)
 	}
 }
 
-// TestInvalidPlans checks that the error of each invalid plan names the flag to change.
+// TestInvalidPlans checks that each invalid plan is refused before anything starts, with an error
+// that names the flag to change.
 func TestInvalidPlans(t *testing.T) {
 	for flag, change := range map[string]func(*Plan){
-		"--workers":      func(p *Plan) { p.Workers = maxWorkers + 1 },
-		"--controllers":  func(p *Plan) { p.Controllers = 20 },
-		"--teams":        func(p *Plan) { p.Teams = 21 },
-		"--tasks":        func(p *Plan) { p.Tasks = 0 },
-		"--run":          func(p *Plan) { p.TaskRunTime = 0 },
-		"--starts":       func(p *Plan) { p.StartsPerSecond = 1000 },
-		"--for":          func(p *Plan) { p.Duration = time.Hour },
-		"--report":       func(p *Plan) { p.HeartbeatInterval = 0 },
-		"--lose":         func(p *Plan) { p.LostWorkers = 11 },
-		"--change-every": func(p *Plan) { p.ChangeEvery = -1 },
-		"--requests":     func(p *Plan) { p.StateRPS = 0 },
+		"--workers":      func(plan *Plan) { plan.Workers = maxWorkers + 1 },
+		"--controllers":  func(plan *Plan) { plan.Controllers = 20 },
+		"--teams":        func(plan *Plan) { plan.Teams = 21 },
+		"--tasks":        func(plan *Plan) { plan.Tasks = 0 },
+		"--run":          func(plan *Plan) { plan.TaskRunTime = 0 },
+		"--starts":       func(plan *Plan) { plan.StartsPerSecond = 1000 },
+		"--for":          func(plan *Plan) { plan.Duration = time.Hour },
+		"--report":       func(plan *Plan) { plan.HeartbeatInterval = 0 },
+		"--lose":         func(plan *Plan) { plan.LostWorkers = 11 },
+		"--change-every": func(plan *Plan) { plan.ChangeEvery = -1 },
+		"--requests":     func(plan *Plan) { plan.StateRPS = 0 },
 	} {
 		t.Run(flag, func(t *testing.T) {
-			p := smallPlan(t)
-			change(&p)
-			if _, err := Measure(context.Background(), p); !errors.Is(err, ErrPlan) || !strings.Contains(err.Error(), flag) {
+			plan := smallPlan(t)
+			change(&plan)
+			if _, err := Measure(context.Background(), plan); !errors.Is(err, ErrPlan) || !strings.Contains(err.Error(), flag) {
 				t.Errorf("got error %v, want ErrPlan with %s", err, flag)
 			}
 		})
 	}
 }
 
+// TestFitLine fits points of a known plane, which must give back its coefficients, and points of
+// which one is beside the plane, which must show in the residual.
 func TestFitLine(t *testing.T) {
 	const want0, want1, want2 = 3, 0.02, 0.5
 	x := [][]float64{{250, 5}, {500, 5}, {1000, 20}, {2000, 10}, {2000, 40}}
 	var y []float64
-	for _, v := range x {
-		y = append(y, want0+want1*v[0]+want2*v[1])
+	for _, point := range x {
+		y = append(y, want0+want1*point[0]+want2*point[1])
 	}
-	f, ok := FitLine("figure", x, y)
-	if !ok || math.Abs(f.Intercept-want0) > 1e-6 || math.Abs(f.Slopes[0]-want1) > 1e-9 || math.Abs(f.Slopes[1]-want2) > 1e-7 || f.Residual > 1e-6 {
-		t.Errorf("points of a plane: got %+v, %v, want intercept %v, slopes %v and %v, no residual", f, ok, want0, want1, want2)
+	fit, ok := FitLine("figure", x, y)
+	if !ok || math.Abs(fit.Intercept-want0) > 1e-6 || math.Abs(fit.Slopes[0]-want1) > 1e-9 || math.Abs(fit.Slopes[1]-want2) > 1e-7 || fit.Residual > 1e-6 {
+		t.Errorf("points of a plane: got %+v, %v, want intercept %v, slopes %v and %v, no residual", fit, ok, want0, want1, want2)
 	}
 	y[0]++
-	if f, _ = FitLine("figure", x, y); f.Residual < 0.1 {
-		t.Errorf("a point beside the plane: got residual %v, want at least 0.1", f.Residual)
+	if fit, _ = FitLine("figure", x, y); fit.Residual < 0.1 {
+		t.Errorf("one point outside the plane: got residual %v, want at least 0.1", fit.Residual)
 	}
 }
 
+// TestFitLineUndetermined checks that no fit is returned where the points do not determine the
+// coefficients. A solver without a check for singular equations would return arbitrary slopes.
 func TestFitLineUndetermined(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -120,8 +127,8 @@
 		{"no more points than coefficients", [][]float64{{1}, {2}}, []float64{1, 2}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			if f, ok := FitLine("figure", tt.x, tt.y); ok {
-				t.Errorf("got fit %+v, want none", f)
+			if fit, ok := FitLine("figure", tt.x, tt.y); ok {
+				t.Errorf("got fit %+v, want none", fit)
 			}
 		})
 	}
--- a/internal/lab/scale/snapshot.go
+++ b/internal/lab/scale/snapshot.go
@@ -13,31 +13,31 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// checkAlive returns an error if a controller has exited by itself, or if all processes
-// together take more memory than allowed.
-func (l *workload) checkAlive() error {
+// checkAlive returns an error if a controller that was not killed has exited, or if all processes
+// together use more memory than memoryFraction of the machine's.
+func (load *workload) checkAlive() error {
 	totalMB := 0.0
-	for i := range l.cluster.APIAddrs {
-		pid := l.cluster.PID(i)
+	for i := range load.cluster.APIAddrs {
+		pid := load.cluster.PID(i)
 		if pid == 0 {
 			continue
 		}
-		x, err := readProcess(pid)
-		if err != nil || x.exited {
-			return fmt.Errorf("scale: node-%d exited by itself; its log is in %s", i, l.plan.Dir)
+		stats, err := readProcess(pid)
+		if err != nil || stats.exited {
+			return fmt.Errorf("scale: node-%d exited unexpectedly; its log is in %s", i, load.plan.Dir)
 		}
-		totalMB += x.rssMB
+		totalMB += stats.rssMB
 	}
-	me, err := readProcess(os.Getpid())
+	self, err := readProcess(os.Getpid())
 	if err != nil {
 		return err
 	}
-	m, err := readNumericFields("/proc/meminfo")
+	meminfo, err := readNumericFields("/proc/meminfo")
 	if err != nil {
 		return err
 	}
-	if limitMB := memoryFraction * m["MemTotal"] / 1024; totalMB+me.rssMB > limitMB {
-		return fmt.Errorf("scale: %.0f MB of memory in use, limit is half of the memory, %.0f MB; try fewer --workers", totalMB+me.rssMB, limitMB)
+	if limitMB := memoryFraction * meminfo["MemTotal"] / 1024; totalMB+self.rssMB > limitMB {
+		return fmt.Errorf("scale: %.0f MB of memory in use, the limit is half of the memory, %.0f MB; want fewer --workers", totalMB+self.rssMB, limitMB)
 	}
 	return nil
 }
@@ -46,32 +46,34 @@
 type snapshot struct {
 	at     time.Time
 	counts simulation.LiveCounts
-	// procs are the controllers, and self is this process.
+	// procs has the statistics of the controllers, and self those of this process.
 	procs []processStats
 	self  processStats
 	// machineCPU is the processor time of the whole machine in seconds.
 	machineCPU float64
 }
 
-func (l *workload) takeSnapshot() (snapshot, error) {
-	s := snapshot{counts: l.cluster.Live.Counts()}
-	for i := range l.cluster.APIAddrs {
-		x, err := readProcess(l.cluster.PID(i))
-		if err != nil || x.exited {
-			return s, fmt.Errorf("scale: node-%d exited by itself; its log is in %s", i, l.plan.Dir)
+// takeSnapshot reads the counters. It returns an error if a controller has exited.
+func (load *workload) takeSnapshot() (snapshot, error) {
+	current := snapshot{counts: load.cluster.Live.Counts()}
+	for i := range load.cluster.APIAddrs {
+		stats, err := readProcess(load.cluster.PID(i))
+		if err != nil || stats.exited {
+			return current, fmt.Errorf("scale: node-%d exited unexpectedly; its log is in %s", i, load.plan.Dir)
 		}
-		s.procs = append(s.procs, x)
+		current.procs = append(current.procs, stats)
 	}
 	var err error
-	if s.self, err = readProcess(os.Getpid()); err != nil {
-		return s, err
+	if current.self, err = readProcess(os.Getpid()); err != nil {
+		return current, err
 	}
-	s.machineCPU, err = machineCPUSeconds()
-	s.at = time.Now()
-	return s, err
+	current.machineCPU, err = machineCPUSeconds()
+	current.at = time.Now()
+	return current, err
 }
 
-// machineCPUSeconds returns the processor time that the whole machine has used since it booted.
+// machineCPUSeconds returns the processor time in seconds that the whole machine has used since
+// it booted.
 func machineCPUSeconds() (float64, error) {
 	b, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -85,8 +87,8 @@
 	return (user + nice + system + irq + soft) / clockTicks, nil
 }
 
-// setRates sets the rates between two snapshots.
-func (l *workload) setRates(r *Measurement, before, after snapshot) {
+// setRates sets the rates between two snapshots in the result.
+func (load *workload) setRates(measurement *Measurement, before, after snapshot) {
 	seconds := after.at.Sub(before.at).Seconds()
 	delta := after.counts.Minus(before.counts)
 	perSecond := func(m map[string]int) (float64, map[string]float64) {
@@ -97,34 +99,35 @@
 		}
 		return sum, out
 	}
-	r.ForS, r.StartsPerSecond, r.RateLimited, r.CloudCalls, r.LostToLease = seconds, float64(delta.Starts)/seconds, delta.RateLimited, float64(delta.CloudCalls)/seconds, delta.LostToLease
+	measurement.ForS, measurement.StartsPerSecond, measurement.RateLimited, measurement.CloudCalls, measurement.LostToLease = seconds, float64(delta.Starts)/seconds, delta.RateLimited, float64(delta.CloudCalls)/seconds, delta.LostToLease
 	for status, n := range delta.Heartbeats {
-		r.HeartbeatsPerSecond += float64(n) / seconds
+		measurement.HeartbeatsPerSecond += float64(n) / seconds
 		if status != http.StatusOK {
-			r.HeartbeatsRejected += float64(n) / seconds
+			measurement.HeartbeatsRejected += float64(n) / seconds
 		}
 	}
-	kb := 1024 * seconds * float64(r.Workers)
-	r.HeartbeatKB, r.CommandKB = float64(delta.HeartbeatBytesOut+delta.HeartbeatBytesIn)/kb, float64(delta.CommandBytesOut+delta.CommandBytesIn)/kb
-	r.CommandsPerSecond, _ = perSecond(delta.Commands)
-	r.StateRPS, r.RequestsByKind = perSecond(delta.Requests)
-	r.StateWriteRPS, r.WritesByFamily = perSecond(delta.Writes)
-	r.SimulationCores = (after.self.cpuSeconds - before.self.cpuSeconds) / seconds
-	r.OtherCores = (after.machineCPU-before.machineCPU)/seconds - r.SimulationCores
-	for i, x := range after.procs {
-		r.OtherCores -= (x.cpuSeconds - before.procs[i].cpuSeconds) / seconds
+	kb := 1024 * seconds * float64(measurement.Workers)
+	measurement.HeartbeatKB, measurement.CommandKB = float64(delta.HeartbeatBytesOut+delta.HeartbeatBytesIn)/kb, float64(delta.CommandBytesOut+delta.CommandBytesIn)/kb
+	measurement.CommandsPerSecond, _ = perSecond(delta.Commands)
+	measurement.StateRPS, measurement.RequestsByKind = perSecond(delta.Requests)
+	measurement.StateWriteRPS, measurement.WritesByFamily = perSecond(delta.Writes)
+	measurement.SimulationCores = (after.self.cpuSeconds - before.self.cpuSeconds) / seconds
+	measurement.OtherCores = (after.machineCPU-before.machineCPU)/seconds - measurement.SimulationCores
+	for i, stats := range after.procs {
+		measurement.OtherCores -= (stats.cpuSeconds - before.procs[i].cpuSeconds) / seconds
 	}
 }
 
-// setRoles sets what each controller took between two snapshots, and its role now.
-func (l *workload) setRoles(ctx context.Context, r *Measurement, before, after snapshot) error {
-	s := after.at.Sub(before.at).Seconds()
-	for i, x := range after.procs {
-		reply, err := status(ctx, l.cluster.InternalAddrs[i])
+// setRoles sets the present role of each controller and the resources that it used between two
+// snapshots.
+func (load *workload) setRoles(ctx context.Context, measurement *Measurement, before, after snapshot) error {
+	seconds := after.at.Sub(before.at).Seconds()
+	for i, stats := range after.procs {
+		reply, err := status(ctx, load.cluster.InternalAddrs[i])
 		if err != nil {
 			return err
 		}
-		role := Role{Host: fmt.Sprintf("node-%d", i), Role: "other", Cores: (x.cpuSeconds - before.procs[i].cpuSeconds) / s, RSSMB: x.rssMB, PeakMB: x.peakMB, Files: x.openFiles, Threads: x.threads}
+		role := Role{Host: fmt.Sprintf("node-%d", i), Role: "other", Cores: (stats.cpuSeconds - before.procs[i].cpuSeconds) / seconds, RSSMB: stats.rssMB, PeakMB: stats.peakMB, Files: stats.openFiles, Threads: stats.threads}
 		role.Teams = len(localTeams(reply))
 		switch {
 		case reply.IsLeader && reply.IsShardLeader:
@@ -134,23 +137,23 @@
 		case reply.IsShardLeader:
 			role.Role = "owner"
 		}
-		r.Roles = append(r.Roles, role)
+		measurement.Roles = append(measurement.Roles, role)
 	}
 	return nil
 }
 
 // localTeams returns the teams whose jobs the controller runs.
-func localTeams(s *message.StatusReply) []string {
+func localTeams(reply *message.StatusReply) []string {
 	var out []string
-	for _, t := range s.Teams {
-		if t.IsLocal {
-			out = append(out, t.Name)
+	for _, team := range reply.Teams {
+		if team.IsLocal {
+			out = append(out, team.Name)
 		}
 	}
 	return out
 }
 
-// status queries the status of the controller at an internal address.
+// status requests the status of the controller at an internal address.
 func status(ctx context.Context, addr string) (*message.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -163,9 +166,9 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer resp.Body.Close()
-	var s message.StatusReply
-	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
+	var reply message.StatusReply
+	if err := json.NewDecoder(resp.Body).Decode(&reply); err != nil {
 		return nil, fmt.Errorf("scale: %s: %w", addr, err)
 	}
-	return &s, nil
+	return &reply, nil
 }
--- a/internal/lab/scale/workload.go
+++ b/internal/lab/scale/workload.go
@@ -9,49 +9,53 @@
 	"github.com/micahill/micahill/internal/lab/fleet"
 )
 
-// workload submits jobs to a cluster and collects what became of them.
+// workload submits jobs to a cluster and records when they are accepted and started.
 type workload struct {
-	plan     Plan
-	cluster  *fleet.Cluster
+	plan    Plan
+	cluster *fleet.Cluster
+	// jobCount is the number of jobs so far. newJob derives the next ID and team from it.
 	jobCount int
 
 	// wg counts the running submissions, and mu guards the fields below.
 	wg sync.WaitGroup
 	mu sync.Mutex
-	// acceptTimes are in seconds, one for each accepted job.
+	// acceptTimes has a latency in seconds for each accepted job.
 	acceptTimes  []float64
 	rejectedJobs int
-	// urgentJobs holds when each urgent job was submitted, by its ID.
+	// urgentJobs has the time of submission of each urgent job, by its ID.
 	urgentJobs map[string]time.Time
 }
 
-func (l *workload) logf(format string, args ...any) {
-	fmt.Fprintf(l.plan.Progress, format+"\n", args...)
+// logf writes a line about the progress.
+func (load *workload) logf(format string, args ...any) {
+	fmt.Fprintf(load.plan.Progress, format+"\n", args...)
 }
 
-// newJob completes a job with the next ID, and a team in turn.
-func (l *workload) newJob(j fleet.Job) fleet.Job {
-	l.jobCount++
-	j.ID = fmt.Sprintf("job-%08x", l.jobCount)
-	j.Team = teamName(l.jobCount % l.plan.Teams)
-	return j
+// newJob returns the job with the next ID, and with the teams in turn.
+func (load *workload) newJob(job fleet.Job) fleet.Job {
+	load.jobCount++
+	job.ID = fmt.Sprintf("job-%08x", load.jobCount)
+	job.Team = teamName(load.jobCount % load.plan.Teams)
+	return job
 }
 
-// submit starts to submit a job until it is accepted. Its accept latency counts from now.
-func (l *workload) submit(ctx context.Context, first int, j fleet.Job) {
+// submit starts a goroutine that submits a job, first to the controller with index first, until
+// the job is accepted. The accept latency counts from the call. A job counts as rejected if a
+// controller refuses it as invalid after maxUrgentWait, or if the context ends first.
+func (load *workload) submit(ctx context.Context, first int, job fleet.Job) {
 	began := time.Now()
-	if j.Urgency == "urgent" {
-		l.mu.Lock()
-		l.urgentJobs[j.ID] = began
-		l.mu.Unlock()
+	if job.Urgency == "urgent" {
+		load.mu.Lock()
+		load.urgentJobs[job.ID] = began
+		load.mu.Unlock()
 	}
-	l.wg.Go(func() {
+	load.wg.Go(func() {
 		for ctx.Err() == nil {
-			ok, err := l.cluster.SubmitAt(ctx, first, j)
+			ok, err := load.cluster.SubmitAt(ctx, first, job)
 			if ok {
-				l.mu.Lock()
-				l.acceptTimes = append(l.acceptTimes, time.Since(began).Seconds())
-				l.mu.Unlock()
+				load.mu.Lock()
+				load.acceptTimes = append(load.acceptTimes, time.Since(began).Seconds())
+				load.mu.Unlock()
 				return
 			}
 			if err != nil && time.Since(began) > maxUrgentWait {
@@ -59,12 +63,13 @@
 			}
 			sleep(ctx, time.Second)
 		}
-		l.mu.Lock()
-		l.rejectedJobs++
-		l.mu.Unlock()
+		load.mu.Lock()
+		load.rejectedJobs++
+		load.mu.Unlock()
 	})
 }
 
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -72,50 +77,52 @@
 	}
 }
 
-// startWorkers scales out to all workers, by services with one task to a worker.
-func (l *workload) startWorkers(ctx context.Context, r *Measurement) error {
-	l.urgentJobs = map[string]time.Time{}
+// startWorkers scales the cluster out to all workers: it submits services with one task for each
+// worker, and waits until all tasks run. It returns an error if that takes longer than
+// maxFillTime.
+func (load *workload) startWorkers(ctx context.Context, measurement *Measurement) error {
+	load.urgentJobs = map[string]time.Time{}
 	began := time.Now()
-	for i := range l.plan.Teams {
-		n := l.plan.Workers / l.plan.Teams
-		if i < l.plan.Workers%l.plan.Teams {
+	for i := range load.plan.Teams {
+		n := load.plan.Workers / load.plan.Teams
+		if i < load.plan.Workers%load.plan.Teams {
 			n++
 		}
-		l.submit(ctx, i, l.newJob(fleet.Job{Workload: "standing", Tasks: n, CPUs: serviceTaskCPUs, Urgency: "normal", Standing: true}))
+		load.submit(ctx, i, load.newJob(fleet.Job{Workload: "standing", Tasks: n, CPUs: serviceTaskCPUs, Urgency: "normal", Standing: true}))
 	}
 	for lastLogged := began; ; sleep(ctx, pollInterval) {
-		up, tasks, standing := l.cluster.Live.Workers()
-		if up >= l.plan.Workers && standing >= l.plan.Workers {
+		up, tasks, standing := load.cluster.Live.Workers()
+		if up >= load.plan.Workers && standing >= load.plan.Workers {
 			break
 		}
-		if err := l.checkAlive(); err != nil {
+		if err := load.checkAlive(); err != nil {
 			return err
 		}
 		if time.Since(began) > maxFillTime || ctx.Err() != nil {
-			return fmt.Errorf("scale: after %.0f s: got %d of %d workers up, with %d tasks", time.Since(began).Seconds(), up, l.plan.Workers, tasks)
+			return fmt.Errorf("scale: after %.0f s: got %d of %d workers up, with %d tasks", time.Since(began).Seconds(), up, load.plan.Workers, tasks)
 		}
 		if time.Since(lastLogged) > 5*time.Second {
 			lastLogged = time.Now()
-			l.logf("%5.0f s: %d of %d workers, %d tasks", time.Since(began).Seconds(), up, l.plan.Workers, tasks)
+			load.logf("%5.0f s: %d of %d workers, %d tasks", time.Since(began).Seconds(), up, load.plan.Workers, tasks)
 		}
 	}
-	r.FillS = time.Since(began).Seconds()
-	l.logf("%5.0f s: all %d workers are up", r.FillS, l.plan.Workers)
-	// What is in flight when the last worker comes up is over one heartbeat later, and must
-	// not count in the measurement.
-	sleep(ctx, l.plan.HeartbeatInterval)
-	l.acceptTimes, l.rejectedJobs = nil, 0
+	measurement.FillS = time.Since(began).Seconds()
+	load.logf("%5.0f s: all %d workers are up", measurement.FillS, load.plan.Workers)
+	// Requests in flight when the last worker comes up end within one heartbeat interval. They
+	// must not count in the measurement.
+	sleep(ctx, load.plan.HeartbeatInterval)
+	load.acceptTimes, load.rejectedJobs = nil, 0
 	return nil
 }
 
-// urgentLatencies waits until the urgent jobs have started. Latencies count from their
-// submission.
-func (l *workload) urgentLatencies(ctx context.Context) Latencies {
+// urgentLatencies waits until the urgent jobs have started, for at most maxUrgentWait. Latencies
+// count from the submission.
+func (load *workload) urgentLatencies(ctx context.Context) Latencies {
 	var all []float64
 	end := time.Now().Add(maxUrgentWait)
-	for id, at := range l.urgentJobs {
+	for id, at := range load.urgentJobs {
 		for ctx.Err() == nil {
-			if first, ok := l.cluster.Live.FirstStart(id); ok {
+			if first, ok := load.cluster.Live.FirstStart(id); ok {
 				all = append(all, first.Sub(at).Seconds())
 				break
 			}
@@ -125,5 +132,5 @@
 			sleep(ctx, pollInterval)
 		}
 	}
-	return summarize(all, len(l.urgentJobs)-len(all))
+	return summarize(all, len(load.urgentJobs)-len(all))
 }
