--- a/examples/policy.star
+++ b/examples/policy.star
@@ -1,24 +1,26 @@
-# An operators' policy for micahill. It is run once, when a controller starts;
-# what it leaves in these names are the settings. Names that begin with _ are
-# the script's own. Everything may be left out.
+# An example of an operators' policy for micahill. A controller runs the script once, when it
+# starts, and takes the values of these global names as settings. Names that begin with _ are
+# private to the script. Every setting is optional.
 
-# The paper's w: a group of tasks is relaunched after w times the median run
-# time of the job's finished tasks.
+# The factor w of the paper: a group of tasks is relaunched after w times the median run time of
+# the job's finished tasks.
 relaunch_factor = 2.0
 
-# How often the leader may move machines between the controllers' shares.
+# The least time in seconds between two moves of machines between the controllers' shares by the
+# leader.
 share_interval_s = 30
 
-# Room kept free for work whose wait an objective bounds; 1.0 is what arrives
-# of it while a machine boots.
+# The capacity kept free for tasks whose wait an objective bounds. 1.0 is the capacity for the
+# tasks of this kind that arrive while a machine boots.
 warm_room = 1.0
 
-# How long an idle machine of the cheapest kind is kept.
+# How many seconds an idle machine of the cheapest type is kept.
 idle_keep_s = 45
 
-# Prices are multiplied by these when types are compared.
+# Factors for the prices of machine types, applied when types are compared.
 prefer = {"lab-rack": 0.95}
 
-# Of jobs as urgent as each other, those of heavier workloads go first.
+# Weights of workloads. Of jobs of the same urgency, those of a workload with a higher weight go
+# first.
 _clinics = ["rush-rx"]
 weights = {name: 10 for name in _clinics}
