--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -13,8 +13,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// testSettings returns settings of a small deployment with two zones and two teams, of which one
-// has a quota limit.
+// testSettings returns the settings of a small deployment with two zones and two teams. The team lab has a
+// quota limit of 40 cores.
 func testSettings() controller.Settings {
 	return controller.Settings{
 		Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second,
@@ -25,8 +25,7 @@
 	}
 }
 
-// testTypes returns two machine types, and how many machines the cloud has, by
-// type/zone/spot.
+// testTypes returns two machine types, and the number of machines that the cloud has by type/zone/spot.
 func testTypes() ([]model.MachineType, map[string]int) {
 	return []model.MachineType{
 			{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 20 * time.Second, Zones: []string{"a", "b"}},
@@ -36,26 +35,28 @@
 		}
 }
 
-// testCancelWithin is the time in which tasks of a cancelled job have to stop (cancel_s).
+// testCancelWithin is the time within which the tasks of a cancelled job must stop (cancel_s).
 const testCancelWithin = 54 * time.Second
 
+// newTestWorld returns a world of three controllers with the test settings and machine types.
 func newTestWorld(seed uint64) *World {
 	return newTestWorldOfSize(seed, 3)
 }
 
-// newTestWorldOfSize returns a world with so many controllers.
+// newTestWorldOfSize returns a world with the given number of controllers, the test settings and the test
+// machine types.
 func newTestWorldOfSize(seed uint64, controllers int) *World {
 	types, capacity := testTypes()
 	return NewWorld(seed, controllers, testSettings(), testCancelWithin, types, capacity)
 }
 
-// newSmallWorld returns a world of three controllers whose cloud has small machines only.
+// newSmallWorld returns a world of three controllers whose cloud has only small machines.
 func newSmallWorld(seed uint64, set controller.Settings) *World {
 	types, _ := testTypes()
 	return NewWorld(seed, 3, set, testCancelWithin, types, map[string]int{"small/a/false": 20, "small/b/false": 20})
 }
 
-// batchJob returns a job of normal urgency, each of whose tasks needs cpu cores and GB.
+// batchJob returns a job of normal urgency. Each of its tasks needs cpu cores and cpu GB of memory.
 func batchJob(id, team string, tasks int, cpu float64, run time.Duration) model.JobSpec {
 	return model.JobSpec{
 		ID: id, Workload: "batch", Team: team, Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: cpu, Memory: cpu},
@@ -63,122 +64,125 @@
 	}
 }
 
-// submitMany submits equal jobs and returns their IDs.
-func (w *World) submitMany(prefix, team string, jobs, tasks int, cpu float64, run time.Duration) []string {
+// submitMany submits jobs that differ only in their IDs, and returns the IDs.
+func (world *World) submitMany(prefix, team string, jobs, tasks int, cpu float64, run time.Duration) []string {
 	var ids []string
 	for i := range jobs {
 		spec := batchJob(fmt.Sprintf("job-%s%03d", prefix, i), team, tasks, cpu, run)
-		w.Submit(spec, run, false)
+		world.Submit(spec, run, false)
 		ids = append(ids, spec.ID)
 	}
 	return ids
 }
 
-// longJob returns an array whose tasks outlast every test.
+// longJob returns a job of the team ops whose tasks run longer than every test.
 func longJob(id string, tasks int) model.JobSpec {
 	return model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: 1, Memory: 1},
 		Image: "i", ImageGB: 0.1, ExpectedRunTime: time.Hour}
 }
 
-// waitUntil runs the world until a condition holds, and returns how long that took, or -1 if it
-// does not hold within the limit.
-func (w *World) waitUntil(limit time.Duration, condition func() bool) time.Duration {
-	from := w.now
+// waitUntil runs the world until a condition holds, and returns the simulated time that passed, or -1 if
+// the condition does not hold within the limit.
+func (world *World) waitUntil(limit time.Duration, condition func() bool) time.Duration {
+	from := world.now
 	for !condition() {
-		if w.now.Sub(from) >= limit {
+		if world.now.Sub(from) >= limit {
 			return -1
 		}
-		w.Run(tickInterval)
+		world.Run(tickInterval)
 	}
-	return w.now.Sub(from)
+	return world.now.Sub(from)
 }
 
-// machinesRunning returns the machines with tasks of a job.
-func (w *World) machinesRunning(id string) []*Worker {
+// machinesRunning returns the machines that run tasks of a job, by machine ID.
+func (world *World) machinesRunning(id string) []*Worker {
 	var out []*Worker
-	for _, k := range sortedKeys(w.machines) {
-		m := w.machines[k]
-		for _, x := range m.tasks {
-			if x.job.spec.ID == id && x.onMachine() && !slices.Contains(out, m) {
-				out = append(out, m)
+	for _, k := range sortedKeys(world.machines) {
+		machine := world.machines[k]
+		for _, task := range machine.tasks {
+			if task.job.spec.ID == id && task.onMachine() && !slices.Contains(out, machine) {
+				out = append(out, machine)
 			}
 		}
 	}
 	return out
 }
 
-// trackLastRun records from now on when each of the jobs was last on a machine.
-func (w *World) trackLastRun(ids ...string) map[string]time.Time {
+// trackLastRun returns a map that holds, for each of the jobs, the last time at which a task of the job was
+// on a machine. It updates the map once a tick from its call on.
+func (world *World) trackLastRun(ids ...string) map[string]time.Time {
 	last := map[string]time.Time{}
 	var scan func()
 	scan = func() {
 		for _, id := range ids {
-			if w.runningTasks(id) > 0 {
-				last[id] = w.now
+			if world.runningTasks(id) > 0 {
+				last[id] = world.now
 			}
 		}
-		w.schedule(tickInterval, scan)
+		world.schedule(tickInterval, scan)
 	}
 	scan()
 	return last
 }
 
-// checkStoppedWithin checks that the jobs of trackLastRun are confirmed as cancelled, and that
-// their tasks stopped within the limit after the first confirmation.
-func checkStoppedWithin(t *testing.T, w *World, last map[string]time.Time, limit time.Duration) {
+// checkStoppedWithin runs the world until the jobs in last, a map of trackLastRun, are confirmed as
+// cancelled and have no running tasks. It fails the test if that takes more than three minutes, or if tasks
+// ran for longer than the limit after the first confirmation.
+func checkStoppedWithin(t *testing.T, world *World, last map[string]time.Time, limit time.Duration) {
 	t.Helper()
 	for _, id := range sortedKeys(last) {
-		j := w.jobs[id]
-		if w.waitUntil(3*time.Minute, func() bool { return !j.cancelledAt.IsZero() && w.runningTasks(id) == 0 }) < 0 {
-			t.Errorf("%s: got state %q and %d running tasks, want cancelled and none", id, j.lastState, w.runningTasks(id))
-		} else if d := last[id].Sub(j.cancelledAt); d > limit {
-			t.Errorf("%s: got tasks for %v after its cancellation was confirmed, want at most %v", id, d, limit)
+		job := world.jobs[id]
+		if world.waitUntil(3*time.Minute, func() bool { return !job.cancelledAt.IsZero() && world.runningTasks(id) == 0 }) < 0 {
+			t.Errorf("%s: got state %q and %d running tasks, want cancelled and none", id, job.lastState, world.runningTasks(id))
+		} else if stopTime := last[id].Sub(job.cancelledAt); stopTime > limit {
+			t.Errorf("%s: got tasks running for %v after its cancellation was confirmed, want at most %v", id, stopTime, limit)
 		}
 	}
 }
 
-// maxStopTime is the limit for tasks of a cancelled job on reachable machines, also during a
-// takeover.
+// maxStopTime is the time within which the tasks of a cancelled job on reachable machines must stop, also
+// during a takeover.
 const maxStopTime = 15 * time.Second
 
-// checkNoViolations reports every violation of an invariant, and logs the end of the log if the
-// test has failed.
-func checkNoViolations(t *testing.T, w *World) {
+// checkNoViolations fails the test for each violated invariant, and prints the end of the world's log if
+// the test has failed.
+func checkNoViolations(t *testing.T, world *World) {
 	t.Helper()
-	reportViolations(t, w.Violations)
+	reportViolations(t, world.Violations)
 	if t.Failed() {
-		logTail(t, w.logs, 80)
+		logTail(t, world.logs, 80)
 	}
 }
 
-// reportViolations reports each violation as an error.
+// reportViolations fails the test for each violation.
 func reportViolations(t *testing.T, violations []string) {
 	t.Helper()
-	for _, v := range violations {
-		t.Errorf("got violation %s", v)
+	for _, violation := range violations {
+		t.Errorf("got violation %s", violation)
 	}
 }
 
-// logTail logs the last lines of a world's or a day's log.
+// logTail prints the last lines of the log of a world or a day.
 func logTail(t *testing.T, lines []string, last int) {
 	t.Helper()
 	t.Log(strings.Join(lines[max(0, len(lines)-last):], "\n"))
 }
 
-// checkFinalAnswers checks that the last answer about each job was that it is done or, with
-// allowOthers, that it was refused or cancelled.
-func checkFinalAnswers(t *testing.T, w *World, allowOthers bool) {
+// checkFinalAnswers fails the test for each job that was not last reported as done. With allowOthers, jobs
+// may also be refused or cancelled.
+func checkFinalAnswers(t *testing.T, world *World, allowOthers bool) {
 	t.Helper()
-	for _, id := range sortedKeys(w.jobs) {
-		if j := w.jobs[id]; j.lastState != "done" && !(allowOthers && (j.refusedStatus > 0 || j.lastState == "cancelled")) {
-			t.Errorf("%s: got final state %q with %d of %d tasks done, want done", id, j.lastState, len(j.doneTasks), j.spec.Tasks)
+	for _, id := range sortedKeys(world.jobs) {
+		if job := world.jobs[id]; job.lastState != "done" && !(allowOthers && (job.refusedStatus > 0 || job.lastState == "cancelled")) {
+			t.Errorf("%s: got final state %q with %d of %d tasks done, want done", id, job.lastState, len(job.doneTasks), job.spec.Tasks)
 		}
 	}
 }
 
-// dayCount returns how many random days a test plays. With -short or -race these are few: the race
-// detector makes a day ten times as slow and finds nothing more, as decisions take place in one
-// goroutine. For a long search: MICAHILL_DAYS=2000 go test ./internal/simulation -run TestSimulation$
+// dayCount returns the number of random days that a test simulates: days, or few with -short or -race. The
+// race detector makes a day ten times as slow and finds no further races in it, as all decisions are made in
+// one goroutine. The environment variable MICAHILL_DAYS sets another number, for a long search:
+// MICAHILL_DAYS=2000 go test ./internal/simulation -run TestSimulation$
 func dayCount(t *testing.T, days, few uint64) uint64 {
 	if testing.Short() || raceEnabled {
 		days = few
@@ -191,8 +195,7 @@
 	return days
 }
 
-// sampleCases returns the indexes of all n cases or, with -short or -race, few of them evenly
-// spaced.
+// sampleCases returns the indexes of all n cases, or of a few evenly spaced ones with -short or -race.
 func sampleCases(n, few int) []int {
 	k := n
 	if testing.Short() || raceEnabled {
@@ -205,30 +208,31 @@
 	return out
 }
 
-// shardLeaderOf returns the index of the controller that leads the shard of a team, by the shard
-// records.
-func (w *World) shardLeaderOf(team string) int {
-	for _, k := range sortedKeys(w.state.records) {
+// shardLeaderOf returns the index of the controller that leads the shard of a team according to the shard
+// records in the state service, or 0 if no record lists the team.
+func (world *World) shardLeaderOf(team string) int {
+	for _, k := range sortedKeys(world.state.records) {
 		var shard struct {
 			Host  string   `msgpack:"host"`
 			Teams []string `msgpack:"teams"`
 		}
-		if strings.HasPrefix(k, "ctl/share/") && msgpack.Unmarshal(w.state.records[k].value, &shard) == nil && slices.Contains(shard.Teams, team) {
-			return w.controllerIndex(shard.Host)
+		if strings.HasPrefix(k, "ctl/share/") && msgpack.Unmarshal(world.state.records[k].value, &shard) == nil && slices.Contains(shard.Teams, team) {
+			return world.controllerIndex(shard.Host)
 		}
 	}
 	return 0
 }
 
-// runUntilDone runs the world until all jobs are done, for at most five minutes.
-func (w *World) runUntilDone() {
-	for end := w.now.Add(5 * time.Minute); w.now.Before(end); w.Run(5 * time.Second) {
-		if !slices.ContainsFunc(sortedKeys(w.jobs), func(id string) bool { return w.jobs[id].lastState != "done" }) {
+// runUntilDone runs the world until all jobs are done, but for at most about five minutes.
+func (world *World) runUntilDone() {
+	for end := world.now.Add(5 * time.Minute); world.now.Before(end); world.Run(5 * time.Second) {
+		if !slices.ContainsFunc(sortedKeys(world.jobs), func(id string) bool { return world.jobs[id].lastState != "done" }) {
 			return
 		}
 	}
 }
 
+// maxTime returns the later of two times.
 func maxTime(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
@@ -236,6 +240,7 @@
 	return a
 }
 
+// boolInt returns 1 for true and 0 for false.
 func boolInt(b bool) int {
 	if b {
 		return 1
--- a/internal/simulation/models_test.go
+++ b/internal/simulation/models_test.go
@@ -12,71 +12,77 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// fragmentedWorld is a world of hosts with eight GPUs each, whose replicas, two of a job, fragment the free
-// capacity, and without more hosts to rent.
+// fragmentedWorld is a world of four hosts with eight GPUs each. Four jobs with two replicas each fragment
+// the free capacity, so that no host is free, and the cloud has no more hosts to rent.
 type fragmentedWorld struct {
 	*World
+	// small has the IDs of the four jobs.
 	small []string
-	// from, to and host are those of the first migration that was written.
+	// from and to are the source and the target machine of the first step of the first plan in the last
+	// migration record that a controller wrote, and host is the machine that this plan frees.
 	from, to, host string
-	// down is a small job that had no replica on a machine, and when; empty if there was none.
+	// down names the first small job that had no replica on a machine, with the time; it is empty if
+	// every small job always had one.
 	down string
 }
 
+// newFragmentedWorld submits eight small jobs, and cancels four of them whose end leaves every host partly
+// used.
 func newFragmentedWorld(t *testing.T, seed uint64, controllers int) *fragmentedWorld {
 	t.Helper()
 	set := testSettings()
 	set.Zones, set.Objectives = []string{"a"}, nil
 	set.Capabilities = controller.Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
-	w := NewWorld(seed, controllers, set, testCancelWithin, []model.MachineType{
+	world := NewWorld(seed, controllers, set, testCancelWithin, []model.MachineType{
 		{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"host/a/false": 4})
-	p := &fragmentedWorld{World: w}
+	fragmented := &fragmentedWorld{World: world}
 	for i := range 8 {
 		id := fmt.Sprintf("job-s%05d", i)
-		w.Submit(model.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 2,
+		world.Submit(model.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 2,
 			Need: model.Resources{CPU: 8, GPU: 2, Memory: 64}, Image: fmt.Sprintf("small-%d", i%2), ImageGB: 5}, 0, false)
-		p.small = append(p.small, id)
-		w.Run(time.Second)
+		fragmented.small = append(fragmented.small, id)
+		world.Run(time.Second)
 	}
-	w.Run(90 * time.Second)
-	// Cancel four jobs such that every host keeps a replica and none is full.
+	world.Run(90 * time.Second)
+	// Cancel four jobs so that every host keeps a replica and no host is full.
 	for mask := range 1 << 8 {
 		var keep, cancel []string
-		for i, id := range p.small {
+		for i, id := range fragmented.small {
 			if mask>>i&1 == 1 {
 				cancel = append(cancel, id)
 			} else {
 				keep = append(keep, id)
 			}
 		}
-		if len(cancel) != 4 || !p.isFragmented(keep) {
+		if len(cancel) != 4 || !fragmented.isFragmented(keep) {
 			continue
 		}
-		p.small = keep
+		fragmented.small = keep
 		for _, id := range cancel {
-			w.Cancel(id)
+			world.Cancel(id)
 		}
-		w.Run(20 * time.Second)
+		world.Run(20 * time.Second)
 		for _, id := range keep {
-			if w.runningTasks(id) != 2 {
-				t.Fatalf("%s: got %d running replicas at first, want 2", id, w.runningTasks(id))
+			if world.runningTasks(id) != 2 {
+				t.Fatalf("%s: got %d running replicas before the migration, want 2", id, world.runningTasks(id))
 			}
 		}
-		return p
+		return fragmented
 	}
-	t.Fatal("got no four jobs whose end fragments the capacity")
+	t.Fatal("got no four jobs whose cancellation leaves every host partly used")
 	return nil
 }
 
-// isFragmented reports whether the jobs to keep leave every host neither empty nor full.
-func (p *fragmentedWorld) isFragmented(keep []string) bool {
+// isFragmented reports whether every host is partly used, neither empty nor full, if only the jobs in keep
+// run.
+func (fragmented *fragmentedWorld) isFragmented(keep []string) bool {
 	hosts := 0
-	for _, m := range p.machines {
+	for _, machine := range fragmented.machines {
 		k := 0
-		for _, x := range m.tasks {
+		for _, task := range machine.tasks {
 			for _, id := range keep {
-				if x.job.spec.ID == id {
+				if task.job.spec.ID == id {
 					k++
 				}
 			}
@@ -88,29 +94,31 @@
 	return hosts == 4
 }
 
-// submitLarge submits a job with a replica that needs a whole host.
-func (p *fragmentedWorld) submitLarge() {
-	p.Submit(model.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 1,
+// submitLarge submits a job with one replica that needs a whole host.
+func (fragmented *fragmentedWorld) submitLarge() {
+	fragmented.Submit(model.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 1,
 		Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
-// watchDown records from now on the first job without a replica on a machine.
-func (p *fragmentedWorld) watchDown() {
-	for _, id := range p.small {
-		if p.runningTasks(id) == 0 && p.down == "" {
-			p.down = fmt.Sprintf("%s at %v", id, p.now.Sub(p.startedAt))
+// watchDown records the first small job without a replica on a machine. It checks once a tick from its
+// call on.
+func (fragmented *fragmentedWorld) watchDown() {
+	for _, id := range fragmented.small {
+		if fragmented.runningTasks(id) == 0 && fragmented.down == "" {
+			fragmented.down = fmt.Sprintf("%s at %v", id, fragmented.now.Sub(fragmented.startedAt))
 		}
 	}
-	p.schedule(tickInterval, p.watchDown)
+	fragmented.schedule(tickInterval, fragmented.watchDown)
 }
 
-// noteMigration records the first migration that an effect writes, and reports whether it writes one.
-func (p *fragmentedWorld) noteMigration(e message.Effect) bool {
-	op, ok := e.(message.StoreRequest)
-	if !ok || op.Kind != message.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
+// noteMigration reports whether an effect writes a migration record with a plan, and stores the machines of
+// its first plan in the receiver.
+func (fragmented *fragmentedWorld) noteMigration(effect message.Effect) bool {
+	request, ok := effect.(message.StoreRequest)
+	if !ok || request.Kind != message.OpTxn || len(request.Writes) == 0 || !strings.HasPrefix(request.Writes[0].Key, "move/") {
 		return false
 	}
-	var r struct {
+	var record struct {
 		Plans []struct {
 			Host  string `msgpack:"h"`
 			Steps []struct {
@@ -119,104 +127,114 @@
 			} `msgpack:"s"`
 		} `msgpack:"p"`
 	}
-	if msgpack.Unmarshal(op.Writes[0].Value, &r) != nil || len(r.Plans) == 0 {
+	if msgpack.Unmarshal(request.Writes[0].Value, &record) != nil || len(record.Plans) == 0 {
 		return false
 	}
-	p.from, p.to, p.host = r.Plans[0].Steps[0].From, r.Plans[0].Steps[0].To, r.Plans[0].Host
+	fragmented.from, fragmented.to, fragmented.host = record.Plans[0].Steps[0].From, record.Plans[0].Steps[0].To, record.Plans[0].Host
 	return true
 }
 
-// hasCommand reports whether an effect has a command of the kind for a job with the prefix.
-func hasCommand(e message.Effect, kind model.TaskCommandKind, jobPrefix string) bool {
+// hasCommand reports whether an effect contains a command of the kind for a job whose ID has the prefix.
+func hasCommand(effect message.Effect, kind model.TaskCommandKind, jobPrefix string) bool {
 	var all []model.TaskCommand
-	switch e := e.(type) {
+	switch e := effect.(type) {
 	case message.WorkerRequest:
 		all = e.Commands
 	case message.HeartbeatReply:
 		all = e.Commands
 	}
-	for _, o := range all {
-		if o.Kind == kind && strings.HasPrefix(o.Job, jobPrefix) {
+	for _, command := range all {
+		if command.Kind == kind && strings.HasPrefix(command.Job, jobPrefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// TestMigrationsFreeCapacity checks that a replica of a whole host starts though no host is free, that the
-// others run again, and that no job ever had all replicas down.
+// TestMigrationsFreeCapacity submits a job that needs a whole host while no host is free. It guards against
+// fragmented capacity that migrations don't free, and against migrations that take down all replicas of a
+// job at once or leave some of them down.
 func TestMigrationsFreeCapacity(t *testing.T) {
-	p := newFragmentedWorld(t, 1, 3)
-	p.watchDown()
-	p.submitLarge()
-	p.Run(80 * time.Second)
-	if p.runningTasks("job-large") != 1 {
-		t.Error("got the large job not running")
+	fragmented := newFragmentedWorld(t, 1, 3)
+	fragmented.watchDown()
+	fragmented.submitLarge()
+	fragmented.Run(80 * time.Second)
+	if fragmented.runningTasks("job-large") != 1 {
+		t.Error("got the large job not running, want it running")
 	}
-	for _, id := range p.small {
-		if p.runningTasks(id) != 2 {
-			t.Errorf("%s: got %d running replicas, want 2", id, p.runningTasks(id))
+	for _, id := range fragmented.small {
+		if fragmented.runningTasks(id) != 2 {
+			t.Errorf("%s: got %d running replicas, want 2", id, fragmented.runningTasks(id))
 		}
 	}
-	if p.down != "" || len(p.Violations) > 0 {
-		t.Errorf("got job with all replicas down %q, violations %v, want none", p.down, p.Violations)
+	if fragmented.down != "" || len(fragmented.Violations) > 0 {
+		t.Errorf("got job with all replicas down %q, violations %v, want none", fragmented.down, fragmented.Violations)
 	}
-	// Finished migrations leave the record.
-	p.Run(6 * time.Minute)
-	if row := p.state.records["move/ops"]; row != nil {
+	// Finished migrations are removed from the record, and an empty record is deleted.
+	fragmented.Run(6 * time.Minute)
+	if row := fragmented.state.records["move/ops"]; row != nil {
 		t.Errorf("got a migration record of %d bytes, want it removed", len(row.value))
 	}
 	if t.Failed() {
-		logTail(t, p.logs, len(p.logs))
+		logTail(t, fragmented.logs, len(fragmented.logs))
 	}
 }
 
-// TestMigrationsSurviveFaults checks that after any fault at any step of a migration everything runs that
-// there is capacity for, and no invariant is violated.
+// TestMigrationsSurviveFaults injects each of the faults at each step of a migration. It guards against a
+// migration that a fault leaves half done, so that replicas stay down although there is capacity for them,
+// and against violated invariants.
 func TestMigrationsSurviveFaults(t *testing.T) {
 	steps := map[string]func(*fragmentedWorld, message.Effect) bool{
-		"intent": func(p *fragmentedWorld, e message.Effect) bool { return p.noteMigration(e) },
-		"stop":   func(p *fragmentedWorld, e message.Effect) bool { return hasCommand(e, model.StopTask, "job-s") },
-		"start":  func(p *fragmentedWorld, e message.Effect) bool { return hasCommand(e, model.StartTask, "job-s") },
-		"receiver": func(p *fragmentedWorld, e message.Effect) bool {
-			return hasCommand(e, model.StartTask, "job-large")
+		"intent": func(fragmented *fragmentedWorld, effect message.Effect) bool { return fragmented.noteMigration(effect) },
+		"stop": func(fragmented *fragmentedWorld, effect message.Effect) bool {
+			return hasCommand(effect, model.StopTask, "job-s")
+		},
+		"start": func(fragmented *fragmentedWorld, effect message.Effect) bool {
+			return hasCommand(effect, model.StartTask, "job-s")
+		},
+		"receiver": func(fragmented *fragmentedWorld, effect message.Effect) bool {
+			return hasCommand(effect, model.StartTask, "job-large")
 		},
 	}
 	type fault struct {
-		do func(*fragmentedWorld)
-		// stops means that the fault itself may stop replicas.
+		inject func(*fragmentedWorld)
+		// stops means that the fault itself may stop replicas, not only the migration.
 		stops bool
 	}
-	crash := func(is func(*controllerProcess) bool) fault {
-		return fault{do: func(p *fragmentedWorld) {
-			for i, x := range p.controllers {
-				if x.alive && is(x) {
-					p.CrashController(i, 5*time.Second)
+	crash := func(matches func(*controllerProcess) bool) fault {
+		return fault{inject: func(fragmented *fragmentedWorld) {
+			for i, process := range fragmented.controllers {
+				if process.alive && matches(process) {
+					fragmented.CrashController(i, 5*time.Second)
 				}
 			}
 		}}
 	}
-	on := func(name func(*fragmentedWorld) string, do func(*fragmentedWorld, *Worker)) fault {
-		return fault{func(p *fragmentedWorld) { do(p, p.machines[name(p)]) }, true}
+	machineFault := func(name func(*fragmentedWorld) string, inject func(*fragmentedWorld, *Worker)) fault {
+		return fault{func(fragmented *fragmentedWorld) { inject(fragmented, fragmented.machines[name(fragmented)]) }, true}
+	}
+	target := func(fragmented *fragmentedWorld) string { return fragmented.to }
+	source := func(fragmented *fragmentedWorld) string { return fragmented.from }
+	host := func(fragmented *fragmentedWorld) string { return fragmented.host }
+	kill := func(fragmented *fragmentedWorld, machine *Worker) { fragmented.killMachine(machine) }
+	partition := func(fragmented *fragmentedWorld, machine *Worker) {
+		fragmented.Partition(machine.ID, "*", 70*time.Second, false)
 	}
-	target := func(p *fragmentedWorld) string { return p.to }
-	source := func(p *fragmentedWorld) string { return p.from }
-	host := func(p *fragmentedWorld) string { return p.host }
-	kill := func(p *fragmentedWorld, m *Worker) { p.killMachine(m) }
-	partition := func(p *fragmentedWorld, m *Worker) { p.Partition(m.ID, "*", 70*time.Second, false) }
 	faults := map[string]fault{
-		"shard leader": crash(func(x *controllerProcess) bool { return x.controller.IsShardLeader() }),
-		"others":       crash(func(x *controllerProcess) bool { return !x.controller.IsShardLeader() }),
-		"all":          crash(func(*controllerProcess) bool { return true }),
-		"state":        {do: func(p *fragmentedWorld) { p.Outage(15 * time.Second) }},
-		"shard leader's state": {do: func(p *fragmentedWorld) {
-			p.Partition(p.controllers[p.shardLeader()].name, "state", 15*time.Second, true)
+		"shard leader crashes":    crash(func(process *controllerProcess) bool { return process.controller.IsShardLeader() }),
+		"other controllers crash": crash(func(process *controllerProcess) bool { return !process.controller.IsShardLeader() }),
+		"all controllers crash":   crash(func(*controllerProcess) bool { return true }),
+		"state service down":      {inject: func(fragmented *fragmentedWorld) { fragmented.Outage(15 * time.Second) }},
+		"shard leader's state service link down": {inject: func(fragmented *fragmentedWorld) {
+			fragmented.Partition(fragmented.controllers[fragmented.shardLeader()].name, "state", 15*time.Second, true)
 		}},
-		"target dies":        on(target, kill),
-		"source dies":        on(source, kill),
-		"target unreachable": on(target, partition),
-		"host unreachable":   on(host, partition),
-		"host reclaimed":     on(host, func(p *fragmentedWorld, m *Worker) { m.reclaimAt = p.now.Add(20 * time.Second) }),
+		"target dies":        machineFault(target, kill),
+		"source dies":        machineFault(source, kill),
+		"target unreachable": machineFault(target, partition),
+		"host unreachable":   machineFault(host, partition),
+		"host reclaimed": machineFault(host, func(fragmented *fragmentedWorld, machine *Worker) {
+			machine.reclaimAt = fragmented.now.Add(20 * time.Second)
+		}),
 	}
 	seed := uint64(0)
 	for _, step := range sortedKeys(steps) {
@@ -226,36 +244,36 @@
 			late := time.Duration(seed%3) * 40 * time.Millisecond
 			t.Run(step+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				p := newFragmentedWorld(t, seed, controllers)
-				p.watchDown()
-				hit := false
-				p.corruptEffect = func(e message.Effect) message.Effect {
-					p.noteMigration(e)
-					if !hit && p.to != "" && steps[step](p, e) {
-						hit = true
-						p.schedule(late, func() { faults[name].do(p) })
+				fragmented := newFragmentedWorld(t, seed, controllers)
+				fragmented.watchDown()
+				injected := false
+				fragmented.corruptEffect = func(effect message.Effect) message.Effect {
+					fragmented.noteMigration(effect)
+					if !injected && fragmented.to != "" && steps[step](fragmented, effect) {
+						injected = true
+						fragmented.schedule(late, func() { faults[name].inject(fragmented) })
 					}
-					return e
+					return effect
 				}
-				p.submitLarge()
-				p.Run(5 * time.Minute)
-				if !hit {
-					t.Errorf("got no step %s, want it reached", step)
+				fragmented.submitLarge()
+				fragmented.Run(5 * time.Minute)
+				if !injected {
+					t.Errorf("got no step %s, want one", step)
 				}
-				if p.runningTasks("job-large") != 1 {
-					t.Error("got the large job not running")
+				if fragmented.runningTasks("job-large") != 1 {
+					t.Error("got the large job not running, want it running")
 				}
-				for _, id := range p.small {
-					if p.runningTasks(id) != 2 {
-						t.Errorf("%s: got %d running replicas, want 2", id, p.runningTasks(id))
+				for _, id := range fragmented.small {
+					if fragmented.runningTasks(id) != 2 {
+						t.Errorf("%s: got %d running replicas, want 2", id, fragmented.runningTasks(id))
 					}
 				}
-				if p.down != "" && !faults[name].stops {
-					t.Errorf("got all replicas down of %s, want none", p.down)
+				if fragmented.down != "" && !faults[name].stops {
+					t.Errorf("got all replicas of %s down, want one of them running at any time", fragmented.down)
 				}
-				reportViolations(t, p.Violations)
+				reportViolations(t, fragmented.Violations)
 				if t.Failed() {
-					logTail(t, p.logs, len(p.logs))
+					logTail(t, fragmented.logs, len(fragmented.logs))
 				}
 			})
 		}
@@ -263,6 +281,6 @@
 }
 
 // shardLeader returns the index of a controller that leads a shard.
-func (p *fragmentedWorld) shardLeader() int {
-	return (&scenario{world: p.World}).shardLeader()
+func (fragmented *fragmentedWorld) shardLeader() int {
+	return (&scenario{world: fragmented.World}).shardLeader()
 }
--- a/internal/simulation/overlaps_test.go
+++ b/internal/simulation/overlaps_test.go
@@ -11,152 +11,155 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// dropStops removes the stop commands from an effect for a worker.
-func dropStops(e message.Effect) message.Effect {
-	return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StopTask })
+// dropStops removes the stop commands from an effect that a controller sends to a worker.
+func dropStops(effect message.Effect) message.Effect {
+	return dropCommands(effect, func(command model.TaskCommand) bool { return command.Kind == model.StopTask })
 }
 
-// TestCancelledInTime checks the checker of cancellations: it counts from the answer that leaves a
-// controller, even if no user receives it, and watches every machine until its lease ends. The controllers
-// are corrupted, and the workers' lease is longer than they know.
+// TestCancelledInTime guards against a check of cancellations (ran_cancelled) that overlooks tasks which run
+// for longer than cancel_s. The check measures from the answer that leaves a controller, even if no user
+// receives it, and covers every machine until its lease ends. The test drops messages or hangs machines, and
+// gives the workers a longer lease than the controllers assume.
 func TestCancelledInTime(t *testing.T) {
 	const id = "job-000001"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		violated bool
 		image    float64
 		// prepare is called just before the user cancels the job.
 		prepare func(*World)
 	}{
-		{"stops lost until just before", false, 1, func(w *World) {
-			till := w.now.Add(w.cancelWithin - 12*time.Second)
-			w.corruptEffect = func(e message.Effect) message.Effect {
-				if w.now.Before(till) {
-					return dropStops(e)
+		{"stop commands lost until shortly before the limit", false, 1, func(world *World) {
+			lostUntil := world.now.Add(world.cancelWithin - 12*time.Second)
+			world.corruptEffect = func(effect message.Effect) message.Effect {
+				if world.now.Before(lostUntil) {
+					return dropStops(effect)
 				}
-				return e
+				return effect
 			}
 		}},
-		{"stops lost until just after", true, 1, func(w *World) {
-			till := w.now.Add(w.cancelWithin + 2*time.Second)
-			w.corruptEffect = func(e message.Effect) message.Effect {
-				if w.now.Before(till) {
-					return dropStops(e)
+		{"stop commands lost until shortly after the limit", true, 1, func(world *World) {
+			lostUntil := world.now.Add(world.cancelWithin + 2*time.Second)
+			world.corruptEffect = func(effect message.Effect) message.Effect {
+				if world.now.Before(lostUntil) {
+					return dropStops(effect)
 				}
-				return e
+				return effect
 			}
 		}},
-		{"stops lost and the answers too", true, 1, func(w *World) {
-			w.corruptEffect = dropStops
-			w.partitionOneWay("*", "user", time.Hour)
+		{"stop commands and answers to users lost", true, 1, func(world *World) {
+			world.corruptEffect = dropStops
+			world.partitionOneWay("*", "user", time.Hour)
 		}},
-		{"a machine hangs", true, 1, func(w *World) {
-			for _, m := range w.fleet {
-				m.hungUntil = w.now.Add(time.Hour)
+		{"machines hang", true, 1, func(world *World) {
+			for _, machine := range world.fleet {
+				machine.hungUntil = world.now.Add(time.Hour)
 			}
 		}},
-		{"a machine hangs while it fetches", true, 30, func(w *World) {
-			for _, m := range w.fleet {
-				m.hungUntil = w.now.Add(time.Hour)
+		{"machines hang while they fetch the image", true, 30, func(world *World) {
+			for _, machine := range world.fleet {
+				machine.hungUntil = world.now.Add(time.Hour)
 			}
 		}},
-		{"nothing reaches a machine", true, 1, func(w *World) { w.MakeUnreachable(sortedKeys(w.machines), time.Hour, false) }},
-		{"the machines are partitioned", true, 1, func(w *World) {
-			for id := range w.machines {
-				w.Partition(id, "*", time.Hour, false)
+		{"machines unreachable", true, 1, func(world *World) { world.MakeUnreachable(sortedKeys(world.machines), time.Hour, false) }},
+		{"machines partitioned", true, 1, func(world *World) {
+			for id := range world.machines {
+				world.Partition(id, "*", time.Hour, false)
 			}
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestWorld(3)
-			w.Submit(model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2, Need: model.Resources{CPU: 2, Memory: 2},
-				Image: "i", ImageGB: c.image, ExpectedRunTime: time.Hour}, time.Hour, false)
-			w.Run(50 * time.Second)
-			// No machine is released, and no lease ends.
-			w.cloudOutage, w.settings.WorkerLease = true, time.Hour
-			c.prepare(w)
-			w.Cancel(id)
-			w.Run(w.cancelWithin - time.Second)
-			if len(w.Violations) > 0 {
-				t.Errorf("got violations before cancel_s is over: %v", w.Violations)
+			world := newTestWorld(3)
+			world.Submit(model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2, Need: model.Resources{CPU: 2, Memory: 2},
+				Image: "i", ImageGB: test.image, ExpectedRunTime: time.Hour}, time.Hour, false)
+			world.Run(50 * time.Second)
+			// Keep machines from being released and their leases from expiring: either would end the tasks.
+			world.cloudOutage, world.settings.WorkerLease = true, time.Hour
+			test.prepare(world)
+			world.Cancel(id)
+			world.Run(world.cancelWithin - time.Second)
+			if len(world.Violations) > 0 {
+				t.Errorf("got violations %v before cancel_s is over, want none", world.Violations)
 			}
-			w.Run(20 * time.Second)
-			if got := strings.Contains(strings.Join(w.Violations, "\n"), "ran_cancelled"); got != c.violated {
-				t.Errorf("got violation %v, want %v: state %q, confirmed at %v, violations %v", got, c.violated, w.jobs[id].lastState, w.jobs[id].cancelledAt, w.Violations)
+			world.Run(20 * time.Second)
+			if got := strings.Contains(strings.Join(world.Violations, "\n"), "ran_cancelled"); got != test.violated {
+				t.Errorf("got a violation of ran_cancelled %v, want %v: state %q, confirmed at %v, violations %v", got, test.violated, world.jobs[id].lastState, world.jobs[id].cancelledAt, world.Violations)
 			}
 		})
 	}
 }
 
-// TestOverlapChecksDetectCorruption checks that each job is queried by itself after the day, cancelled ones too, and
-// at each controller alone.
+// TestOverlapChecksDetectCorruption guards against a check after the day that does not query each job by
+// itself, cancelled jobs included, or does not query each controller separately. It drops the answers about
+// cancelled jobs or the answers of one controller, which the check must report.
 func TestOverlapChecksDetectCorruption(t *testing.T) {
-	d := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, HotFactor: 1, OverlappingFaults: true})
-	d.Faults = []Fault{{Kind: "crash", At: 40 * time.Second, Duration: 5 * time.Second}}
-	d.Cancels = &MassCancel{Workload: "import", Fraction: 1, At: 35 * time.Second, Duration: 20 * time.Second}
+	day := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, HotFactor: 1, OverlappingFaults: true})
+	day.Faults = []Fault{{Kind: "crash", At: 40 * time.Second, Duration: 5 * time.Second}}
+	day.Cancels = &MassCancel{Workload: "import", Fraction: 1, At: 35 * time.Second, Duration: 20 * time.Second}
 	cancelled := 0
-	good := d.run("", func(w *World, e message.Effect) message.Effect {
-		if r, ok := e.(message.UserReply); ok && r.State == "cancelled" {
+	uncorrupted := day.run("", func(world *World, effect message.Effect) message.Effect {
+		if reply, ok := effect.(message.UserReply); ok && reply.State == "cancelled" {
 			cancelled++
 		}
-		return e
+		return effect
 	})
-	if len(good.Violations) > 0 || cancelled == 0 {
-		t.Fatalf("uncorrupted day: got %d answers of cancellations, violations %v, want some and none", cancelled, good.Violations)
+	if len(uncorrupted.Violations) > 0 || cancelled == 0 {
+		t.Fatalf("uncorrupted day: got %d answers about cancelled jobs and violations %v, want some answers and no violations", cancelled, uncorrupted.Violations)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		// corrupt changes an effect once the day's faults are over.
 		corrupt func(*World, message.Effect) message.Effect
 	}{
-		{"no answer about cancelled jobs", func(_ *World, e message.Effect) message.Effect {
-			if r, ok := e.(message.UserReply); ok && r.State == "cancelled" {
+		{"answers about cancelled jobs lost", func(_ *World, effect message.Effect) message.Effect {
+			if reply, ok := effect.(message.UserReply); ok && reply.State == "cancelled" {
 				return nil
 			}
-			return e
+			return effect
 		}},
-		{"one controller's answers don't arrive", func(w *World, e message.Effect) message.Effect {
-			if w.oneWayPartitions["node-1>user"] == 0 {
-				w.partitionOneWay("node-1", "user", time.Hour)
+		{"answers of one controller lost", func(world *World, effect message.Effect) message.Effect {
+			if world.oneWayPartitions["node-1>user"] == 0 {
+				world.partitionOneWay("node-1", "user", time.Hour)
 			}
-			return e
+			return effect
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			r := d.run("", func(w *World, e message.Effect) message.Effect {
-				if w.now.Before(w.faultsEndAt.Add(20 * time.Second)) {
-					return e
+			result := day.run("", func(world *World, effect message.Effect) message.Effect {
+				if world.now.Before(world.faultsEndAt.Add(20 * time.Second)) {
+					return effect
 				}
-				return c.corrupt(w, e)
+				return test.corrupt(world, effect)
 			})
-			if !strings.Contains(strings.Join(r.Violations, "\n"), "forgotten") {
-				t.Errorf("got violations %v, want forgotten in them", r.Violations)
+			if !strings.Contains(strings.Join(result.Violations, "\n"), "forgotten") {
+				t.Errorf("got violations %v, want one of forgotten", result.Violations)
 			}
 		})
 	}
 }
 
-// TestOverlappingFaults plays a few random days on which faults overlap. Many more are played by
-// micahill-lab days --meetings.
+// TestOverlappingFaults simulates a few random days on which faults overlap. It guards against violated
+// invariants and starved jobs on such days. The command micahill-lab days --meetings simulates many more.
 func TestOverlappingFaults(t *testing.T) {
 	for seed := range dayCount(t, 5, 2) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
 			t.Parallel()
-			d := GenerateDay(DayParams{Seed: seed + 1, Machines: 40, OverlappingFaults: true})
-			r := RunDay(d, "")
-			reportViolations(t, append(r.Violations, r.Starved()...))
+			day := GenerateDay(DayParams{Seed: seed + 1, Machines: 40, OverlappingFaults: true})
+			result := RunDay(day, "")
+			reportViolations(t, append(result.Violations, result.Starved()...))
 			if t.Failed() {
-				t.Logf("%v %v", d.Cancels, d.Faults)
-				logTail(t, r.Log, 60)
+				t.Logf("cancels %v, faults %v", day.Cancels, day.Faults)
+				logTail(t, result.Log, 60)
 			}
 		})
 	}
 }
 
-// TestOverlapsUseOwnGenerator checks that the overlapping faults of a day are drawn from a generator of
-// their own, and that all of them overlap but a crash of all controllers at the end.
+// TestOverlapsUseOwnGenerator guards against overlapping faults that change the rest of the day, because they
+// aren't drawn from a random generator of their own, and against faults that don't overlap. Only a crash of
+// all controllers at the end may come later.
 func TestOverlapsUseOwnGenerator(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(200) {
@@ -164,74 +167,76 @@
 		if fmt.Sprint(with.Settings) != fmt.Sprint(without.Settings) || with.Jobs != without.Jobs {
 			t.Fatalf("day %d: got other settings or jobs with overlapping faults, want the same", seed)
 		}
-		// Two or three, on some days a later one, and a crash of all controllers.
+		// A day has two or three overlapping faults, on some days one more, and on some a crash of all
+		// controllers.
 		if len(with.Faults) < 2 || len(with.Faults) > 5 || with.Cancels == nil {
 			t.Fatalf("day %d: got faults %v, cancels %v, want 2 to 5 faults and cancels", seed, with.Faults, with.Cancels)
 		}
-		for _, f := range with.Faults {
-			kinds[f.Kind] = true
-			if f.Immediate || f.ForNextLeader {
-				kinds[f.Kind+map[bool]string{true: ".at_once", false: ".for_next"}[f.Immediate]] = true
+		for _, fault := range with.Faults {
+			kinds[fault.Kind] = true
+			if fault.Immediate || fault.ForNextLeader {
+				kinds[fault.Kind+map[bool]string{true: ".at_once", false: ".for_next"}[fault.Immediate]] = true
 			}
-			if f.At-with.Faults[0].At > maxFaultSpacing && (f.Kind != "crash_all" || f != with.Faults[len(with.Faults)-1]) {
+			if fault.At-with.Faults[0].At > maxFaultSpacing && (fault.Kind != "crash_all" || fault != with.Faults[len(with.Faults)-1]) {
 				t.Errorf("day %d: got faults %v, want them to overlap", seed, with.Faults)
 			}
 		}
 	}
 	for _, k := range append(slices.Clone(overlapFaultKinds), extraFaultKinds...) {
 		if !kinds[k] {
-			t.Errorf("got no fault %s on 200 days", k)
+			t.Errorf("got no fault %s on 200 days, want at least one", k)
 		}
 	}
 }
 
-// TestLateWrites checks that a transaction which is applied late comes after newer ones of the same
-// controller.
+// TestLateWrites delays one transaction and not the next one of the same controller. It guards against a
+// late_writes fault that applies the delayed transaction before the newer one.
 func TestLateWrites(t *testing.T) {
-	w := newTestWorld(1)
-	w.Run(20 * time.Second)
+	world := newTestWorld(1)
+	world.Run(20 * time.Second)
 	value := []byte{0x80}
-	w.DelayWrites(1, time.Second)
-	p := w.controllers[0]
+	world.DelayWrites(1, time.Second)
+	process := world.controllers[0]
 	write := func(key string) {
-		p.sendStoreRequest(message.StoreRequest{ID: 1 << 40, Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
+		process.sendStoreRequest(message.StoreRequest{ID: 1 << 40, Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}, world.now.Add(time.Minute))
 	}
-	exists := func(key string) bool { return w.state.records[key] != nil }
+	exists := func(key string) bool { return world.state.records[key] != nil }
 	write("x/old")
-	w.Run(time.Second)
+	world.Run(time.Second)
 	write("x/new")
-	w.Run(900 * time.Millisecond)
+	world.Run(900 * time.Millisecond)
 	if exists("x/old") || !exists("x/new") {
 		t.Errorf("after 1.9 s: got old record %v, new record %v, want only the new one", exists("x/old"), exists("x/new"))
 	}
-	w.Run(maxWriteDelay)
-	if !exists("x/old") || w.state.records["x/old"].modRevision < w.state.records["x/new"].modRevision {
-		t.Errorf("got the old record missing or with a lower revision than the new one")
+	world.Run(maxWriteDelay)
+	if !exists("x/old") || world.state.records["x/old"].modRevision < world.state.records["x/new"].modRevision {
+		t.Errorf("got the old record missing or with a lower revision than the new one, want a higher revision")
 	}
 }
 
-// TestRefusedOutage has one controller refused, whose watches bring nothing, and then an outage for all.
-// Afterwards every lease is still there.
+// TestRefusedOutage injects a refused_outage fault: the state service first refuses one controller, whose
+// watches deliver nothing, and then is out for all controllers. It guards against a fault that skips one of
+// the two phases or loses leases in the state service.
 func TestRefusedOutage(t *testing.T) {
-	w := newTestWorld(1)
-	w.Run(20 * time.Second)
-	p := w.controllers[w.leaderIndex(0)]
+	world := newTestWorld(1)
+	world.Run(20 * time.Second)
+	process := world.controllers[world.leaderIndex(0)]
 	watched := 0
-	p.openWatch(message.StoreRequest{Kind: message.OpWatch, Key: "x/", Revision: w.state.revision, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(message.StoreResponse) { watched++ })
-	w.startOverlapFault(Fault{Kind: "refused_outage", Controller: p.index, Delay: 2 * time.Second, Duration: time.Minute})
-	w.Run(time.Second)
-	if !p.stateRefused || w.stateOutage {
-		t.Errorf("got controller refused %v, outage %v, want only the controller refused", p.stateRefused, w.stateOutage)
+	process.openWatch(message.StoreRequest{Kind: message.OpWatch, Key: "x/", Revision: world.state.revision, WatchTimeout: time.Hour}, world.now.Add(time.Hour), func(message.StoreResponse) { watched++ })
+	world.startOverlapFault(Fault{Kind: "refused_outage", Controller: process.index, Delay: 2 * time.Second, Duration: time.Minute})
+	world.Run(time.Second)
+	if !process.stateRefused || world.stateOutage {
+		t.Errorf("got controller refused %v, outage %v, want only the controller refused", process.stateRefused, world.stateOutage)
 	}
-	w.state.txn(message.StoreRequest{Writes: []message.Write{{Key: "x/1", Value: []byte{0x80}}}}, &message.StoreResponse{})
-	w.Run(time.Second)
-	leases := len(w.state.leases)
-	w.Run(50 * time.Second)
-	if !w.stateOutage || watched > 0 || len(w.state.leases) != leases {
-		t.Errorf("got outage %v, %d watch responses, %d leases, want an outage, none and %d", w.stateOutage, watched, len(w.state.leases), leases)
+	world.state.txn(message.StoreRequest{Writes: []message.Write{{Key: "x/1", Value: []byte{0x80}}}}, &message.StoreResponse{})
+	world.Run(time.Second)
+	leases := len(world.state.leases)
+	world.Run(50 * time.Second)
+	if !world.stateOutage || watched > 0 || len(world.state.leases) != leases {
+		t.Errorf("got outage %v, %d watch responses, %d leases, want an outage, no watch responses and %d leases", world.stateOutage, watched, len(world.state.leases), leases)
 	}
-	w.Run(15 * time.Second)
-	if w.stateOutage || p.stateRefused || watched != 1 {
-		t.Errorf("after the outage: got outage %v, refused %v, %d watch responses, want false, false and 1", w.stateOutage, p.stateRefused, watched)
+	world.Run(15 * time.Second)
+	if world.stateOutage || process.stateRefused || watched != 1 {
+		t.Errorf("after the outage: got outage %v, refused %v, %d watch responses, want false, false and 1", world.stateOutage, process.stateRefused, watched)
 	}
 }
--- a/internal/simulation/pipeline_reads_test.go
+++ b/internal/simulation/pipeline_reads_test.go
@@ -10,272 +10,277 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// opDependencyCancelled is the cancellation of a job that this one needs, directly or through others: it
-// cancels the job if it is accepted, now or later.
-const opDependencyCancelled operationKind = "doom"
+// opDependencyCancelled is the cancellation of a direct or indirect dependency of a job. It cancels the
+// job at once if the job is accepted, and otherwise as soon as the job is accepted.
+const opDependencyCancelled operationKind = "dependency cancelled"
 
-// neverFate is a fate that no job reaches, for jobs that are not cancelled.
+// neverFate is a fate that no job reaches. It stands in cancelOn for a job that users don't cancel.
 const neverFate jobFate = "never"
 
-// dependentFate is the value of the register of a job in a pipeline.
+// dependentFate is the value of the linearizability register of a job in a pipeline.
 type dependentFate struct {
 	is jobFate
-	// doomed means that a dependency is cancelled.
+	// doomed means that a direct or indirect dependency of the job is cancelled.
 	doomed bool
 }
 
 // dependentJobModel is jobModel with cancellations of dependencies. A cancelled dependency is never done,
-// and so this job never is either.
+// so a job that depends on it is never done either.
 var dependentJobModel = porcupine.Model{
 	Init: func() any { return dependentFate{} },
 	Step: func(state, input, output any) (bool, any) {
-		was, op, said := state.(dependentFate), input.(jobOperation), output.(jobAnswer)
-		if op.kind == opDependencyCancelled {
-			next := dependentFate{was.is, true}
-			if was.is == accepted {
+		previous, operation, answer := state.(dependentFate), input.(jobOperation), output.(jobAnswer)
+		if operation.kind == opDependencyCancelled {
+			next := dependentFate{previous.is, true}
+			if previous.is == accepted {
 				next.is = cancelled
 			}
-			return was.is != done, next
+			return previous.is != done, next
 		}
-		if op.kind == opSubmit && was.is == unknown && was.doomed {
-			// The job is accepted nevertheless.
-			ok := said.status == 201 && (said.fate == accepted || said.fate == cancelled)
-			return said.status == 0 || ok || said.status == 200 && said.fate == cancelled, dependentFate{cancelled, true}
+		if operation.kind == opSubmit && previous.is == unknown && previous.doomed {
+			// A job with a cancelled dependency is accepted all the same, and is then cancelled.
+			ok := answer.status == 201 && (answer.fate == accepted || answer.fate == cancelled)
+			return answer.status == 0 || ok || answer.status == 200 && answer.fate == cancelled, dependentFate{cancelled, true}
 		}
-		ok, next := jobModel.Step(was.is, input, output)
-		return ok, dependentFate{next.(jobFate), was.doomed}
+		ok, next := jobModel.Step(previous.is, input, output)
+		return ok, dependentFate{next.(jobFate), previous.doomed}
 	},
 }
 
-// pipelineReaders are concurrentReaders of pipelines, whose jobs are cancelled through different
-// controllers.
+// pipelineReaders adds pipelines to concurrentReaders: their jobs are submitted, queried and cancelled
+// through different controllers.
 type pipelineReaders struct {
 	*concurrentReaders
 	jobs []*userJob
 }
 
-// addPipeline submits a chain of five jobs with a fan-out in the middle. Job k is cancelled after its fate
-// cancelOn[k].
-func (p *pipelineReaders) addPipeline(at time.Duration, name string, cancelOn [5]jobFate) {
+// addPipeline submits, at the time at, a chain of five jobs with a fan-out in the middle. Job k is
+// cancelled after it reaches the fate cancelOn[k].
+func (readers *pipelineReaders) addPipeline(at time.Duration, name string, cancelOn [5]jobFate) {
 	id := func(k int) string { return fmt.Sprintf("job-%s%d", name, k) }
 	needs := [5][]string{nil, {id(0)}, {id(1)}, {id(1)}, {id(2), id(3)}}
 	for k := range 5 {
-		run := time.Duration(1+p.rng.IntN(6)) * time.Second
-		j := newUserJob(dependentJob(id(k), 1+k%3, run, needs[k]...), run)
-		p.jobs = append(p.jobs, j)
-		p.world.jobs[id(k)] = j
-		p.world.linkDependencies(j)
+		run := time.Duration(1+readers.rng.IntN(6)) * time.Second
+		job := newUserJob(dependentJob(id(k), 1+k%3, run, needs[k]...), run)
+		readers.jobs = append(readers.jobs, job)
+		readers.world.jobs[id(k)] = job
+		readers.world.linkDependencies(job)
 		submit := func() {
-			j.submitted = p.world.now
-			p.cancels[id(k)] = cancelOn[k]
-			p.burst(id(k), unknown)
-			p.send(p.rng.IntN(len(p.world.controllers)), opSubmit, id(k))
-			p.readEverywhere(id(k))
+			job.submitted = readers.world.now
+			readers.cancels[id(k)] = cancelOn[k]
+			readers.burst(id(k), unknown)
+			readers.send(readers.rng.IntN(len(readers.world.controllers)), opSubmit, id(k))
+			readers.readEverywhere(id(k))
 		}
-		p.world.schedule(at, func() { onAllReached(j.dependencies, milestoneAccepted, submit) })
+		readers.world.schedule(at, func() { onAllReached(job.dependencies, milestoneAccepted, submit) })
 	}
 }
 
-// runHooks calls what waits for milestones of the jobs, every 20 ms from now on.
-func (p *pipelineReaders) runHooks() {
-	for _, j := range p.jobs {
-		j.runHooks()
+// runHooks calls the functions that wait for milestones of the jobs, and calls itself again every 20 ms.
+func (readers *pipelineReaders) runHooks() {
+	for _, job := range readers.jobs {
+		job.runHooks()
 	}
-	p.world.schedule(20*time.Millisecond, p.runHooks)
+	readers.world.schedule(20*time.Millisecond, readers.runHooks)
 }
 
-// addDependencyCancels returns a job's history with the cancellations of its dependencies. These take
-// effect after somebody requested them, and within cancel_s after anybody was answered so.
-func (p *pipelineReaders) addDependencyCancels(j *userJob) []porcupine.Operation {
-	id := j.spec.ID
-	out := splitAcceptAndCancel(p.history[id])
-	for _, n := range allDependencies(j) {
-		if p.newestFate[n.spec.ID] != cancelled {
+// addDependencyCancels returns a job's history with the cancellations of its dependencies. Such a
+// cancellation takes effect after a user requested it, and within cancel_s after the first answer that
+// says that the dependency is cancelled.
+func (readers *pipelineReaders) addDependencyCancels(job *userJob) []porcupine.Operation {
+	id := job.spec.ID
+	out := splitAcceptAndCancel(readers.history[id])
+	for _, dependency := range allDependencies(job) {
+		if readers.newestFate[dependency.spec.ID] != cancelled {
 			continue
 		}
 		requested, confirmed := int64(math.MaxInt64), int64(math.MaxInt64)
-		for _, o := range p.history[n.spec.ID] {
-			if o.Input.(jobOperation).kind == opCancel {
-				requested = min(requested, o.Call)
+		for _, operation := range readers.history[dependency.spec.ID] {
+			if operation.Input.(jobOperation).kind == opCancel {
+				requested = min(requested, operation.Call)
 			}
-			if o.Output.(jobAnswer).fate == cancelled {
-				confirmed = min(confirmed, o.Return)
+			if operation.Output.(jobAnswer).fate == cancelled {
+				confirmed = min(confirmed, operation.Return)
 			}
 		}
 		if requested == math.MaxInt64 {
-			// It was not cancelled itself, but through one of its dependencies.
+			// The dependency itself was cancelled only because one of its own dependencies was.
 			continue
 		}
 		if confirmed < math.MaxInt64 {
-			confirmed += p.world.cancelWithin.Nanoseconds()
+			confirmed += readers.world.cancelWithin.Nanoseconds()
 		}
 		out = append(out, porcupine.Operation{ClientId: len(out), Input: jobOperation{id, opDependencyCancelled}, Call: requested, Output: jobAnswer{}, Return: confirmed})
 	}
 	return out
 }
 
-// splitAcceptAndCancel splits answers that a job was accepted and is cancelled by now: it may have been
-// cancelled in between.
+// splitAcceptAndCancel replaces each answer that a submission was accepted but the job is cancelled by two
+// operations, an accepted submission and a query answered as cancelled, as the job may have been cancelled
+// between its acceptance and the answer.
 func splitAcceptAndCancel(history []porcupine.Operation) []porcupine.Operation {
 	var out []porcupine.Operation
-	for _, o := range history {
-		if in, said := o.Input.(jobOperation), o.Output.(jobAnswer); said.status == 201 && said.fate == cancelled {
-			o.Output = jobAnswer{201, accepted}
-			read := o
-			read.Input, read.Output = jobOperation{in.job, opPoll}, jobAnswer{200, cancelled}
+	for _, operation := range history {
+		if input, answer := operation.Input.(jobOperation), operation.Output.(jobAnswer); answer.status == 201 && answer.fate == cancelled {
+			operation.Output = jobAnswer{201, accepted}
+			read := operation
+			read.Input, read.Output = jobOperation{input.job, opPoll}, jobAnswer{200, cancelled}
 			out = append(out, read)
 		}
-		out = append(out, o)
+		out = append(out, operation)
 	}
 	return out
 }
 
-// allDependencies returns all jobs that a job needs, directly or through others.
-func allDependencies(j *userJob) []*userJob {
+// allDependencies returns the direct and indirect dependencies of a job, each once.
+func allDependencies(job *userJob) []*userJob {
 	seen := map[*userJob]bool{}
 	var out []*userJob
 	var walk func(*userJob)
-	walk = func(j *userJob) {
-		for _, n := range j.dependencies {
-			if !seen[n] {
-				seen[n] = true
-				out = append(out, n)
-				walk(n)
+	walk = func(job *userJob) {
+		for _, dependency := range job.dependencies {
+			if !seen[dependency] {
+				seen[dependency] = true
+				out = append(out, dependency)
+				walk(dependency)
 			}
 		}
 	}
-	walk(j)
+	walk(job)
 	return out
 }
 
-// check returns all violations, with jobs whose history is not linearizable, and dependents of cancelled
-// jobs that did not end as cancelled.
-func (p *pipelineReaders) check() []string {
-	out := p.violations
-	for _, j := range p.jobs {
-		id := j.spec.ID
-		if len(p.history[id]) == 0 {
+// check returns the recorded violations, and one more for each job whose history is not linearizable and
+// for each dependent of a cancelled job that did not end as cancelled.
+func (readers *pipelineReaders) check() []string {
+	out := readers.violations
+	for _, job := range readers.jobs {
+		id := job.spec.ID
+		if len(readers.history[id]) == 0 {
 			continue
 		}
-		if r := porcupine.CheckOperationsTimeout(dependentJobModel, dropImpliedReads(withSubmission(p.addDependencyCancels(j))), 5*time.Second); r != porcupine.Ok {
-			out = append(out, fmt.Sprintf("%s: history is not linearizable: %s: %s", id, r, formatHistory(p.addDependencyCancels(j))))
+		if result := porcupine.CheckOperationsTimeout(dependentJobModel, dropImpliedReads(withSubmission(readers.addDependencyCancels(job))), 5*time.Second); result != porcupine.Ok {
+			out = append(out, fmt.Sprintf("%s: history is not linearizable: %s: %s", id, result, formatHistory(readers.addDependencyCancels(job))))
 		}
-		for _, n := range j.dependencies {
-			if p.newestFate[n.spec.ID] == cancelled && p.newestFate[id] != cancelled {
-				out = append(out, fmt.Sprintf("%s: got state %q although %s is cancelled", id, p.newestFate[id], n.spec.ID))
+		for _, dependency := range job.dependencies {
+			if readers.newestFate[dependency.spec.ID] == cancelled && readers.newestFate[id] != cancelled {
+				out = append(out, fmt.Sprintf("%s: got state %q although %s is cancelled", id, readers.newestFate[id], dependency.spec.ID))
 			}
 		}
 	}
 	return out
 }
 
-// runPipelines runs pipelines whose jobs are cancelled at every step, with faults or without.
-func runPipelines(w *World, seed uint64, faults bool) *pipelineReaders {
-	p := &pipelineReaders{concurrentReaders: newConcurrentReaders(w, seed)}
+// runPipelines runs a world for six minutes with pipelines whose jobs are cancelled at different steps. If
+// faults is set, it injects random faults meanwhile.
+func runPipelines(world *World, seed uint64, faults bool) *pipelineReaders {
+	readers := &pipelineReaders{concurrentReaders: newConcurrentReaders(world, seed)}
 	const pipelines, interval = 12, 8 * time.Second
 	for i := range pipelines {
-		on := [5]jobFate{neverFate, neverFate, neverFate, neverFate, neverFate}
+		cancelOn := [5]jobFate{neverFate, neverFate, neverFate, neverFate, neverFate}
 		if i%3 > 0 {
-			on[i%5] = []jobFate{accepted, cancelled, done}[p.rng.IntN(3)]
-			on[p.rng.IntN(5)] = []jobFate{unknown, accepted, done}[p.rng.IntN(3)]
+			cancelOn[i%5] = []jobFate{accepted, cancelled, done}[readers.rng.IntN(3)]
+			cancelOn[readers.rng.IntN(5)] = []jobFate{unknown, accepted, done}[readers.rng.IntN(3)]
 			if i%3 == 2 {
-				// These are cancelled before they are accepted.
-				on = [5]jobFate{unknown, unknown, unknown, unknown, unknown}
+				// Cancel all jobs of this pipeline before they are accepted.
+				cancelOn = [5]jobFate{unknown, unknown, unknown, unknown, unknown}
 			}
 		}
-		p.addPipeline(30*time.Second+time.Duration(i)*interval, fmt.Sprintf("%05d", i), on)
+		readers.addPipeline(30*time.Second+time.Duration(i)*interval, fmt.Sprintf("%05d", i), cancelOn)
 	}
-	p.runHooks()
+	readers.runHooks()
 	if faults {
-		p.fraction = 0.15
+		readers.fraction = 0.15
 		for i := range 20 {
-			w.schedule(32*time.Second+time.Duration(i)*5*time.Second, p.startRandomFault)
+			world.schedule(32*time.Second+time.Duration(i)*5*time.Second, readers.startRandomFault)
 		}
-		w.schedule(32*time.Second+20*5*time.Second, func() { p.fraction = 0 })
+		world.schedule(32*time.Second+20*5*time.Second, func() { readers.fraction = 0 })
 	}
-	w.Run(6 * time.Minute)
-	return p
+	world.Run(6 * time.Minute)
+	return readers
 }
 
-// TestPipelineReads has users query all controllers within milliseconds after, or just when, a job of a
-// pipeline is accepted, ends or is cancelled, and cancel through different ones. Each job is one register,
-// which the cancellation of a dependency reaches within cancel_s.
+// TestPipelineReads has users query all controllers at the moment at which a job of a pipeline is accepted,
+// ends or is cancelled, or milliseconds later, and cancel jobs through different controllers. It guards
+// against controllers that give stale answers: the history of each job must be linearizable, and the
+// cancellation of a dependency must reach the job within cancel_s.
 func TestPipelineReads(t *testing.T) {
 	for seed := range dayCount(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newTestWorld(seed)
-			p := runPipelines(w, seed, seed > 0)
-			reportViolations(t, append(w.Violations, p.check()...))
+			world := newTestWorld(seed)
+			readers := runPipelines(world, seed, seed > 0)
+			reportViolations(t, append(world.Violations, readers.check()...))
 			ends := map[jobFate]int{}
-			for _, j := range p.jobs {
-				f := p.newestFate[j.spec.ID]
-				if ends[f]++; f != done && f != cancelled {
-					t.Errorf("%s: got final state %q, want done or cancelled", j.spec.ID, f)
+			for _, job := range readers.jobs {
+				fate := readers.newestFate[job.spec.ID]
+				if ends[fate]++; fate != done && fate != cancelled {
+					t.Errorf("%s: got final state %q, want done or cancelled", job.spec.ID, fate)
 				}
 			}
 			if ends[done] < 10 || ends[cancelled] < 10 {
 				t.Errorf("got ends %v, want at least 10 done and 10 cancelled", ends)
 			}
-			t.Logf("%v, bursts %v, unanswered %v", ends, p.bursts, p.unansweredCount)
+			t.Logf("%v, bursts %v, unanswered %v", ends, readers.bursts, readers.unansweredCount)
 		})
 	}
 }
 
-// TestStalePipelineAnswersAreDetected checks that the registers detect each corruption of answers.
+// TestStalePipelineAnswersAreDetected corrupts answers about jobs with dependencies. It guards against a
+// linearizability check that overlooks such answers or reports correct ones.
 func TestStalePipelineAnswersAreDetected(t *testing.T) {
-	isDependent := func(w *World, r *message.UserReply) bool {
-		j := w.jobs[r.ID]
-		return j != nil && len(j.dependencies) > 0 && !j.cancelRequested
+	isDependent := func(world *World, reply *message.UserReply) bool {
+		job := world.jobs[reply.ID]
+		return job != nil && len(job.dependencies) > 0 && !job.cancelRequested
 	}
 	for name, corrupt := range map[string]func(*World, *message.UserReply){
 		"not corrupted": nil,
-		"a dependent is sometimes answered as queued": func(w *World, r *message.UserReply) {
-			if isDependent(w, r) && r.State == "cancelled" && r.Reply%7 == 0 {
-				r.State = "queued"
+		"a dependent is sometimes answered as queued": func(world *World, reply *message.UserReply) {
+			if isDependent(world, reply) && reply.State == "cancelled" && reply.Reply%7 == 0 {
+				reply.State = "queued"
 			}
 		},
-		"a dependent is answered as cancelled too soon": func(w *World, r *message.UserReply) {
-			if isDependent(w, r) && r.State == "queued" && r.Reply%5 == 0 && r.Status == 200 {
-				r.State = "cancelled"
+		"a dependent is answered as cancelled too soon": func(world *World, reply *message.UserReply) {
+			if isDependent(world, reply) && reply.State == "queued" && reply.Reply%5 == 0 && reply.Status == 200 {
+				reply.State = "cancelled"
 			}
 		},
-		"a dependent is never answered as cancelled": func(w *World, r *message.UserReply) {
-			if isDependent(w, r) && r.State == "cancelled" {
-				r.State = "queued"
+		"a dependent is never answered as cancelled": func(world *World, reply *message.UserReply) {
+			if isDependent(world, reply) && reply.State == "cancelled" {
+				reply.State = "queued"
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestWorld(3)
+			world := newTestWorld(3)
 			if corrupt != nil {
-				w.corruptEffect = func(e message.Effect) message.Effect {
-					if r, ok := e.(message.UserReply); ok {
-						corrupt(w, &r)
-						return r
+				world.corruptEffect = func(effect message.Effect) message.Effect {
+					if reply, ok := effect.(message.UserReply); ok {
+						corrupt(world, &reply)
+						return reply
 					}
-					return e
+					return effect
 				}
 			}
-			if found := runPipelines(w, 3, false).check(); (corrupt != nil) != (len(found) > 0) {
+			if found := runPipelines(world, 3, false).check(); (corrupt != nil) != (len(found) > 0) {
 				t.Errorf("got violations %v, want some only if corrupted", found)
 			}
 		})
 	}
 }
 
-// formatHistory returns the operations that decide about a job's register, with times in ms.
+// formatHistory formats the operations that the linearizability check of a job uses, with times in ms.
 func formatHistory(history []porcupine.Operation) string {
 	out := ""
-	for _, o := range dropImpliedReads(withSubmission(history)) {
+	for _, operation := range dropImpliedReads(withSubmission(history)) {
 		ms := func(at int64) string {
 			if at == math.MaxInt64 {
 				return "never"
 			}
 			return fmt.Sprint(at / 1e6)
 		}
-		out += fmt.Sprintf("\n  %s..%s %v %v", ms(o.Call), ms(o.Return), o.Input, o.Output)
+		out += fmt.Sprintf("\n  %s..%s %v %v", ms(operation.Call), ms(operation.Return), operation.Input, operation.Output)
 	}
 	return out
 }
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -9,116 +9,119 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// The tests of this file have jobs that fit only beside what runs on a machine of another owner.
+// The tests of this file submit jobs that fit only into the free capacity of a machine that belongs to
+// another shard leader and runs tasks.
 //
-// What happened: such a job waited for as long as anything ran there, beside the free capacity.
-// Why: owners asked the leader only for machines to rent or for idle ones, and offered only idle
-// ones that they had no use for themselves. So nobody asked for a machine in use, and nobody
-// offered one. What showed it, on the day of TestRoomOnAnotherOwnersMachine: from the 60th second
-// to the 151st the waiting owner's updates say "capacity requests: one big, surplus: none" and the
-// leader answers "surplus elsewhere: none" each second, while the cloud refuses the kind; the
-// waiting owner counts one job with "no free capacity here".
+// They guard against such a job waiting as long as any task runs on that machine. This happens if shard
+// leaders ask the leader only for rentals or idle machines, and offer only idle machines that they don't
+// need: then a machine in use is neither requested nor offered. In TestRoomOnAnotherOwnersMachine the job
+// then waits from second 60 to second 151: each second its shard leader requests one big machine, the
+// leader answers that no other shard leader has a surplus, and the cloud refuses the machine type.
 
-// bigMachines is a world of three controllers whose cloud has so many big machines and no others,
-// and whose faults are over.
+// bigMachines returns a world of three controllers whose cloud has count big machines and no other
+// machines. The world counts as free of faults from its start, so that the rules on waiting times apply.
 func bigMachines(seed uint64, count int) *World {
 	types, _ := testTypes()
-	w := NewWorld(seed, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": count})
-	w.faultsEndAt = w.now
-	return w
+	world := NewWorld(seed, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": count})
+	world.faultsEndAt = world.now
+	return world
 }
 
-// labJob is a job of the second team that outlasts every test.
+// labJob returns a job of the team lab that runs longer than every test.
 func labJob(id string, tasks int, cpu float64) model.JobSpec {
-	s := longJob(id, tasks)
-	s.Team, s.Need.CPU = "lab", cpu
-	return s
+	spec := longJob(id, tasks)
+	spec.Team, spec.Need.CPU = "lab", cpu
+	return spec
 }
 
-// checkPlaced checks that all tasks of a job are on machines.
-func checkPlaced(t *testing.T, w *World, id string) {
+// checkPlaced fails the test unless all tasks of a job are on machines.
+func checkPlaced(t *testing.T, world *World, id string) {
 	t.Helper()
-	j := w.jobs[id]
-	for i := range j.spec.Tasks {
-		if !j.isPlaced(i) {
-			t.Errorf("%s/%d: got it nowhere, want it on a machine", id, i)
+	job := world.jobs[id]
+	for i := range job.spec.Tasks {
+		if !job.isPlaced(i) {
+			t.Errorf("%s/%d: got the task on no machine, want it on one", id, i)
 		}
 	}
 }
 
-// checkNotRestarted checks that the tasks of a job run as their first attempts.
-func checkNotRestarted(t *testing.T, w *World, id string) {
+// checkNotRestarted fails the test unless all tasks of a job are on machines in their first attempt.
+func checkNotRestarted(t *testing.T, world *World, id string) {
 	t.Helper()
-	checkPlaced(t, w, id)
-	for _, m := range w.machinesRunning(id) {
-		for _, x := range m.tasks {
-			if x.job.spec.ID == id && x.attempt != 1 {
-				t.Errorf("%s/%d: got attempt %d, want the first", id, x.index, x.attempt)
+	checkPlaced(t, world, id)
+	for _, machine := range world.machinesRunning(id) {
+		for _, task := range machine.tasks {
+			if task.job.spec.ID == id && task.attempt != 1 {
+				t.Errorf("%s/%d: got attempt %d, want the first", id, task.index, task.attempt)
 			}
 		}
 	}
 }
 
-// TestOwnersWithRoomForEachOther has two owners each of which has free capacity for the other's
-// waiting job only. Both jobs must begin, and the machines then stay where they are.
+// TestOwnersWithRoomForEachOther has two shard leaders, each with one machine whose free capacity only
+// fits the waiting job of the other. It guards against a deadlock in which neither job starts, and
+// against transfers that restart running tasks.
 func TestOwnersWithRoomForEachOther(t *testing.T) {
 	types, _ := testTypes()
-	w := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1, "small/a/false": 1})
-	w.faultsEndAt = w.now
+	world := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1, "small/a/false": 1})
+	world.faultsEndAt = world.now
 	submit := func(id, team, machineType string, cpu float64) {
-		s := labJob(id, 1, cpu)
-		s.Team, s.MachineTypes = team, []string{machineType}
-		w.Submit(s, time.Hour, false)
+		spec := labJob(id, 1, cpu)
+		spec.Team, spec.MachineTypes = team, []string{machineType}
+		world.Submit(spec, time.Hour, false)
 	}
 	submit("job-000001", "ops", "big", 20)
 	submit("job-000002", "lab", "small", 2)
-	w.Run(time.Minute)
+	world.Run(time.Minute)
 	submit("job-000003", "ops", "small", 2)
 	submit("job-000004", "lab", "big", 8)
-	w.Run(maxWaiting + 30*time.Second)
+	world.Run(maxWaiting + 30*time.Second)
 	for _, id := range []string{"job-000001", "job-000002", "job-000003", "job-000004"} {
-		checkNotRestarted(t, w, id)
+		checkNotRestarted(t, world, id)
 	}
-	w.Run(5 * time.Minute)
-	checkNoViolations(t, w)
+	world.Run(5 * time.Minute)
+	checkNoViolations(t, world)
 }
 
-// TestRoomBesideReplicas has the free capacity beside replicas that never end: they go on.
+// TestRoomBesideReplicas submits a job that fits only beside long-running replicas of another shard. It
+// guards against a transfer that waits for replicas, which never end, or restarts them.
 func TestRoomBesideReplicas(t *testing.T) {
-	w := bigMachines(5, 1)
-	s := longJob("job-000001", 4)
-	s.LongRunning, s.ExpectedRunTime = true, 0
-	w.Submit(s, 0, false)
-	w.Run(time.Minute)
-	w.Submit(labJob("job-000002", 2, 8), time.Hour, false)
-	w.Run(maxWaiting + 30*time.Second)
-	checkNoViolations(t, w)
-	checkNotRestarted(t, w, "job-000001")
-	checkPlaced(t, w, "job-000002")
+	world := bigMachines(5, 1)
+	spec := longJob("job-000001", 4)
+	spec.LongRunning, spec.ExpectedRunTime = true, 0
+	world.Submit(spec, 0, false)
+	world.Run(time.Minute)
+	world.Submit(labJob("job-000002", 2, 8), time.Hour, false)
+	world.Run(maxWaiting + 30*time.Second)
+	checkNoViolations(t, world)
+	checkNotRestarted(t, world, "job-000001")
+	checkPlaced(t, world, "job-000002")
 }
 
-// TestRoomAtTheTeamsLimit has the job fill its team's limit exactly, with tasks on machines of
-// both owners. Nothing more of the team may start, and the next job, which waits for the limit,
-// gets no machine.
+// TestRoomAtTheTeamsLimit submits a job that fills the quota limit of its team exactly, with tasks on
+// machines of both shards. It guards against a transfer that lets the team exceed the limit: the
+// next job of the team waits for quota and must get no machine.
 func TestRoomAtTheTeamsLimit(t *testing.T) {
-	w := bigMachines(7, 2)
-	w.Submit(longJob("job-000001", 10), time.Hour, false)
-	w.Run(time.Minute)
-	w.Submit(labJob("job-000002", 1, 32), time.Hour, false)
-	w.Run(time.Minute)
-	w.Submit(labJob("job-000003", 1, 8), time.Hour, false)
-	w.Run(maxWaiting + 30*time.Second)
-	checkPlaced(t, w, "job-000003")
-	w.Submit(labJob("job-000004", 1, 1), time.Hour, false)
-	w.Run(maxWaiting + 30*time.Second)
-	checkNoViolations(t, w)
-	if w.jobs["job-000004"].isPlaced(0) {
-		t.Error("got a task placed beyond its team's limit, want none")
+	world := bigMachines(7, 2)
+	world.Submit(longJob("job-000001", 10), time.Hour, false)
+	world.Run(time.Minute)
+	world.Submit(labJob("job-000002", 1, 32), time.Hour, false)
+	world.Run(time.Minute)
+	world.Submit(labJob("job-000003", 1, 8), time.Hour, false)
+	world.Run(maxWaiting + 30*time.Second)
+	checkPlaced(t, world, "job-000003")
+	world.Submit(labJob("job-000004", 1, 1), time.Hour, false)
+	world.Run(maxWaiting + 30*time.Second)
+	checkNoViolations(t, world)
+	if world.jobs["job-000004"].isPlaced(0) {
+		t.Error("got a task placed beyond the quota limit of its team, want none")
 	}
 }
 
-// TestRoomAmongSeveralTeams has three and four teams, each of them with a machine in use but the
-// last, and then jobs of all teams that fit only beside other teams' tasks.
+// TestRoomAmongSeveralTeams has three or four teams, of which all but the last have a machine in use. Then
+// it submits jobs of all teams but the first, each of which fits beside one running task only, mostly
+// that of another team. It guards against a job that waits although a machine of another shard has
+// capacity for it.
 func TestRoomAmongSeveralTeams(t *testing.T) {
 	for _, teams := range []int{3, 4} {
 		t.Run(fmt.Sprint(teams), func(t *testing.T) {
@@ -129,48 +132,50 @@
 				set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%c", 'a'+i)})
 			}
 			types, _ := testTypes()
-			w := NewWorld(uint64(teams), 3, set, testCancelWithin, types, map[string]int{"big/a/false": teams - 1})
-			w.faultsEndAt = w.now
+			world := NewWorld(uint64(teams), 3, set, testCancelWithin, types, map[string]int{"big/a/false": teams - 1})
+			world.faultsEndAt = world.now
 			submit := func(id string, team int, cpu, memory float64) {
-				s := labJob(id, 1, cpu)
-				s.Team, s.Need.Memory = set.Teams[team].Name, memory
-				w.Submit(s, time.Hour, false)
+				spec := labJob(id, 1, cpu)
+				spec.Team, spec.Need.Memory = set.Teams[team].Name, memory
+				world.Submit(spec, time.Hour, false)
 			}
 			for i := range teams - 1 {
 				submit(fmt.Sprintf("job-00000%d", i), i, float64(16+4*i), float64(100-40*i))
 			}
-			w.Run(time.Minute)
-			// Each fits beside one task only, which is another team's.
+			world.Run(time.Minute)
+			// Each job fits beside one task only, which mostly belongs to another team.
 			for i := range teams - 1 {
 				submit(fmt.Sprintf("job-00001%d", i), teams-1-i, float64(16-4*i), float64(20+40*i))
 			}
-			w.Run(maxWaiting + 30*time.Second)
-			checkNoViolations(t, w)
+			world.Run(maxWaiting + 30*time.Second)
+			checkNoViolations(t, world)
 			for i := range teams - 1 {
-				checkNotRestarted(t, w, fmt.Sprintf("job-00000%d", i))
-				checkPlaced(t, w, fmt.Sprintf("job-00001%d", i))
+				checkNotRestarted(t, world, fmt.Sprintf("job-00000%d", i))
+				checkPlaced(t, world, fmt.Sprintf("job-00001%d", i))
 			}
 		})
 	}
 }
 
-// transferFaults are what meets a transfer, by name; each is over within a tenth of a second but
-// for what it leaves behind on the way.
+// transferFaults are the faults that TestTransferMeetsFaults injects around a transfer, by name. Crashed
+// controllers restart after 0.1 s. The other faults last 5 s or 10 s, but the messages that they delay can
+// arrive later.
 var transferFaults = map[string]func(*World){
-	"owner of the machine ends": func(w *World) { w.CrashController(w.shardLeaderOf("ops"), 100*time.Millisecond) },
-	"waiting owner ends":        func(w *World) { w.CrashController(w.shardLeaderOf("lab"), 100*time.Millisecond) },
-	"leader ends":               func(w *World) { w.CrashController(w.leaderIndex(0), 100*time.Millisecond) },
-	"all end": func(w *World) {
-		for i := range w.controllers {
-			w.CrashController(i, 100*time.Millisecond)
+	"owning shard leader crashes":  func(world *World) { world.CrashController(world.shardLeaderOf("ops"), 100*time.Millisecond) },
+	"waiting shard leader crashes": func(world *World) { world.CrashController(world.shardLeaderOf("lab"), 100*time.Millisecond) },
+	"leader crashes":               func(world *World) { world.CrashController(world.leaderIndex(0), 100*time.Millisecond) },
+	"all controllers crash": func(world *World) {
+		for i := range world.controllers {
+			world.CrashController(i, 100*time.Millisecond)
 		}
 	},
-	"commands late":       func(w *World) { w.DelayCommands(1, 10*time.Second) },
-	"heartbeats repeated": func(w *World) { w.CopyHeartbeats(1, 40*time.Second, 10*time.Second) },
-	"writes late":         func(w *World) { w.DelayWrites(0.5, 5*time.Second) },
+	"commands delayed":    func(world *World) { world.DelayCommands(1, 10*time.Second) },
+	"heartbeats repeated": func(world *World) { world.CopyHeartbeats(1, 40*time.Second, 10*time.Second) },
+	"writes delayed":      func(world *World) { world.DelayWrites(0.5, 5*time.Second) },
 }
 
-// transferMoments are when, in the wait of a job, faults meet its transfer: before, in and after.
+// transferMoments returns the times after the submission of a job at which a test injects a fault. They
+// range from before the transfer of the machine for that job until after it.
 func transferMoments() []time.Duration {
 	if raceEnabled || testing.Short() {
 		return []time.Duration{44 * time.Second, 47 * time.Second, 49 * time.Second}
@@ -182,86 +187,87 @@
 	return out
 }
 
-// TestTransferMeetsFaults has each fault meet a transfer at each moment. Whatever ends, the job
-// begins in time after it, what runs goes on, and no rule is broken.
+// TestTransferMeetsFaults injects each of the transferFaults at each of the transferMoments. It guards
+// against a fault that makes the waiting job wait too long, or restarts the tasks that run on the machine.
 func TestTransferMeetsFaults(t *testing.T) {
 	for _, name := range sortedKeys(transferFaults) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, at := range transferMoments() {
-				w := bigMachines(3, 1)
-				w.Submit(longJob("job-000001", 10), time.Hour, false)
-				w.Run(time.Minute)
-				w.Submit(labJob("job-000002", 2, 8), time.Hour, false)
-				w.Run(at)
-				transferFaults[name](w)
-				w.faultsEndAt = w.now.Add(10 * time.Second)
-				w.Run(10*time.Second + maxWaiting + 30*time.Second)
-				checkNoViolations(t, w)
-				checkNotRestarted(t, w, "job-000001")
-				checkPlaced(t, w, "job-000002")
+				world := bigMachines(3, 1)
+				world.Submit(longJob("job-000001", 10), time.Hour, false)
+				world.Run(time.Minute)
+				world.Submit(labJob("job-000002", 2, 8), time.Hour, false)
+				world.Run(at)
+				transferFaults[name](world)
+				world.faultsEndAt = world.now.Add(10 * time.Second)
+				world.Run(10*time.Second + maxWaiting + 30*time.Second)
+				checkNoViolations(t, world)
+				checkNotRestarted(t, world, "job-000001")
+				checkPlaced(t, world, "job-000002")
 				if t.Failed() {
-					t.Fatalf("with the fault %v after the submission", at)
+					t.Fatalf("failed with the fault %v after the submission", at)
 				}
 			}
 		})
 	}
 }
 
-// TestCancelledAroundTransfer has the job that runs on the machine cancelled before, in and after
-// its transfer, while the machine hangs, hears nothing, or is in order. Its tasks are gone in
-// time, and the waiting job begins.
+// TestCancelledAroundTransfer cancels the job that runs on the machine before, during and after the
+// transfer of that machine, while the machine works, hangs, can't be reached, or can't reach a controller.
+// It guards against tasks that run on after cancel_s because two shard leaders are involved, and against a
+// waiting job that does not start.
 func TestCancelledAroundTransfer(t *testing.T) {
-	for _, state := range []string{"in order", "hangs", "hears nothing", "cut off"} {
+	for _, state := range []string{"working", "hung", "heartbeats lost", "unreachable"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
 			for _, at := range transferMoments() {
-				w := bigMachines(3, 1)
-				w.Submit(longJob("job-000001", 10), time.Hour, false)
-				w.Run(time.Minute)
-				w.Submit(labJob("job-000002", 2, 8), time.Hour, false)
-				w.Run(at)
-				machine := w.machinesRunning("job-000001")[0]
+				world := bigMachines(3, 1)
+				world.Submit(longJob("job-000001", 10), time.Hour, false)
+				world.Run(time.Minute)
+				world.Submit(labJob("job-000002", 2, 8), time.Hour, false)
+				world.Run(at)
+				machine := world.machinesRunning("job-000001")[0]
 				switch state {
-				case "hangs":
-					machine.hungUntil = w.now.Add(15 * time.Second)
-				case "hears nothing":
-					w.MakeUnheard([]string{machine.ID}, 15*time.Second)
-				case "cut off":
-					w.MakeUnreachable([]string{machine.ID}, 15*time.Second, true)
+				case "hung":
+					machine.hungUntil = world.now.Add(15 * time.Second)
+				case "heartbeats lost":
+					world.MakeUnheard([]string{machine.ID}, 15*time.Second)
+				case "unreachable":
+					world.MakeUnreachable([]string{machine.ID}, 15*time.Second, true)
 				}
-				w.Cancel("job-000001")
-				w.faultsEndAt = w.now.Add(15 * time.Second)
-				w.Run(15*time.Second + maxWaiting + 30*time.Second)
-				checkNoViolations(t, w)
-				checkPlaced(t, w, "job-000002")
+				world.Cancel("job-000001")
+				world.faultsEndAt = world.now.Add(15 * time.Second)
+				world.Run(15*time.Second + maxWaiting + 30*time.Second)
+				checkNoViolations(t, world)
+				checkPlaced(t, world, "job-000002")
 				if t.Failed() {
-					t.Fatalf("with the cancellation %v after the submission", at)
+					t.Fatalf("failed with the cancellation %v after the submission", at)
 				}
 			}
 		})
 	}
 }
 
-// TestNoTransferWithoutWait has jobs of two owners that all find capacity in time: no machine in
-// use changes hands.
+// TestNoTransferWithoutWait submits jobs of two shards that all find capacity in time. It guards against
+// transfers of machines in use that no waiting job needs.
 func TestNoTransferWithoutWait(t *testing.T) {
-	w := newTestWorld(11)
-	w.faultsEndAt = w.now
+	world := newTestWorld(11)
+	world.faultsEndAt = world.now
 	for i := range 6 {
-		s := labJob(fmt.Sprintf("job-00000%d", i), 2, 2)
-		s.Team = []string{"ops", "lab"}[i%2]
-		w.Submit(s, time.Hour, false)
+		spec := labJob(fmt.Sprintf("job-00000%d", i), 2, 2)
+		spec.Team = []string{"ops", "lab"}[i%2]
+		world.Submit(spec, time.Hour, false)
 	}
 	transfers := 0
-	w.corruptEffect = func(e message.Effect) message.Effect {
-		if l, ok := e.(message.Log); ok && l.Message == "machine transferred for waiting jobs" {
+	world.corruptEffect = func(effect message.Effect) message.Effect {
+		if entry, ok := effect.(message.Log); ok && entry.Message == "machine transferred for waiting jobs" {
 			transfers++
 		}
-		return e
+		return effect
 	}
-	w.Run(3 * time.Minute)
-	checkNoViolations(t, w)
+	world.Run(3 * time.Minute)
+	checkNoViolations(t, world)
 	if transfers != 0 {
 		t.Errorf("got %d transfers while no job waits, want none", transfers)
 	}
