--- a/internal/aging/aging_test.go
+++ b/internal/aging/aging_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestFairOrder checks the queue order for random jobs. Every task has an entry. An overdue job
+// TestQueueOrder checks the queue order for random jobs. Every task has an entry. An overdue job
 // goes before all jobs of its own or lower urgency, but not before guaranteed quota. Promoted tasks
 // stay within the priority fraction, except for the extra task of a job without running tasks.
-func TestFairOrder(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		jobs := make([]Job, rapid.IntRange(0, 12).Draw(t, "jobs"))
 		for i := range jobs {
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -121,10 +121,10 @@
 	return resp.StatusCode, nil
 }
 
-// TestConns checks which connection the tracker closes at the hard limit: an idle connection of a
+// TestConnectionLimit checks which connection the tracker closes at the hard limit: an idle connection of a
 // worker before one of a user, and never a connection with a request in progress. Otherwise a busy
 // server would drop requests that it has already accepted.
-func TestConns(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	tracker := newConnTracker(0)
 	var all []net.Conn
 	open := func(worker, idle bool) net.Conn {
--- a/internal/api/size_test.go
+++ b/internal/api/size_test.go
@@ -27,11 +27,11 @@
 	serverGoroutines = 50
 )
 
-// TestPoolBySize guards against goroutines and memory that grow with the number of machines.
+// TestConnectionsOfManyMachines guards against goroutines and memory that grow with the number of machines.
 // Thousands of machines send a heartbeat, a hundred of them at a time, and leave their connections
 // open. Goroutines and memory must be in proportion to the limit on connections, which follows from
 // the number of sockets, and every heartbeat must get a response.
-func TestPoolBySize(t *testing.T) {
+func TestConnectionsOfManyMachines(t *testing.T) {
 	const sockets = 200
 	for _, machines := range []int{2000, 5000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestLearns guards against an estimate that stays at the nominal time when machines boot faster or slower.
-func TestLearns(t *testing.T) {
+// TestEstimateFollowsSamples guards against an estimate that stays at the nominal time when machines boot faster or slower.
+func TestEstimateFollowsSamples(t *testing.T) {
 	var estimator Estimator
 	now := time.Unix(1_750_000_000, 0)
 	for range 20 {
@@ -98,10 +98,10 @@
 	}
 }
 
-// TestBounds guards against contradictory decisions for any samples. A new machine must be worth waiting for
+// TestDecisionsAreConsistent guards against contradictory decisions for any samples. A new machine must be worth waiting for
 // unless its estimate is Never, no machine may be both worth waiting for and given up, and no machine may be
 // waited for without limit.
-func TestBounds(t *testing.T) {
+func TestDecisionsAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var estimator Estimator
 		now := time.Unix(1_750_000_000, 0)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -134,11 +134,11 @@
 	}
 }
 
-// TestPlacementDoesNotMultiply checks by counting, not by time, that a round with a long queue of
+// TestPlacementScansOncePerTaskKind checks by counting, not by time, that a round with a long queue of
 // similar jobs and no free capacity scans the machines once for each kind of task. A scan for each
 // job would make the cost grow with the product of machines and jobs. The test also checks that a
 // repeated heartbeat changes nothing.
-func TestPlacementDoesNotMultiply(t *testing.T) {
+func TestPlacementScansOncePerTaskKind(t *testing.T) {
 	controller := largePool(400)
 	round := controller.shardLeader.scheduler.newPlacementRound()
 	for _, job := range controller.shardLeader.scheduler.jobsInQueueOrder() {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -9,10 +9,10 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestExpectedTasksRentNothingBesideIdleMachines guards against renting a machine for each expected task
+// TestExpectedTasksUseIdleMachines guards against renting a machine for each expected task
 // although machines are idle. That happens if planning assumes that a machine to be rented has the image
 // when the task arrives, whereas idle machines have to fetch it.
-func TestExpectedTasksRentNothingBesideIdleMachines(t *testing.T) {
+func TestExpectedTasksUseIdleMachines(t *testing.T) {
 	c := largePool(0)
 	for i := range 40 {
 		heartbeat := c.poolHeartbeat(0)
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -93,11 +93,11 @@
 	}
 }
 
-// TestDuplicateHeartbeats guards against trusting copies. A heartbeat that arrives twice, or
+// TestDuplicateHeartbeatsProveNothing guards against trusting copies. A heartbeat that arrives twice, or
 // that arrives first under an earlier epoch, doesn't prove the machine alive, announces no
 // reclaim, ends no attempt, causes no command, and doesn't delay the proof that the lease
 // has expired.
-func TestDuplicateHeartbeats(t *testing.T) {
+func TestDuplicateHeartbeatsProveNothing(t *testing.T) {
 	c := largePool(12)
 	m, j := machineWithTask(c)
 	lastHeard, sequence, leaseEnd := m.lastHeard, m.sequence, m.leaseEnd
--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -199,10 +199,10 @@
 	return after.Mallocs - before.Mallocs
 }
 
-// TestHugeJobIsLinear checks that taking over a job ten times as large costs about ten times as
+// TestHugeJobCostIsLinear checks that taking over a job ten times as large costs about ten times as
 // much, and that simulating a second of it on the same machines costs hardly more, since that cost
 // grows with the machines. The test counts allocations, since times differ between machines.
-func TestHugeJobIsLinear(t *testing.T) {
+func TestHugeJobCostIsLinear(t *testing.T) {
 	const machines = 200
 	measure := func(tasks int) (second, takeover uint64) {
 		run := newHugeJob(tasks, machines)
@@ -225,10 +225,10 @@
 	}
 }
 
-// TestLongQueueIsNotMoved guards against copying the queue of tasks to retry for each task that is
+// TestTakePendingDoesNotCopyQueue guards against copying the queue of tasks to retry for each task that is
 // taken from it. After the loss of many machines the copies would cost the square of the number of
 // tasks in one step.
-func TestLongQueueIsNotMoved(t *testing.T) {
+func TestTakePendingDoesNotCopyQueue(t *testing.T) {
 	job := newJob(model.JobSpec{ID: "job-huge", Tasks: maxHugeTasks}, time.Time{}, 1, 4096)
 	for i := range job.tasks {
 		job.requeued = append(job.requeued, i)
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -121,11 +121,11 @@
 	}
 }
 
-// TestWorkWithoutGPUs guards against tasks without GPUs that take the CPUs and memory which replicas need
+// TestTasksWithoutGPUs guards against tasks without GPUs that take the CPUs and memory which replicas need
 // on hosts with GPUs. Such tasks must take only what no replica could use there, and the rest elsewhere.
 // No host with GPUs may be requested for them, and a host with such tasks alone must count as empty.
 // Exceptions are brief tasks, a long wait, and tasks that fit no other machine type.
-func TestWorkWithoutGPUs(t *testing.T) {
+func TestTasksWithoutGPUs(t *testing.T) {
 	c := newGPUHostPool(2, 1)
 	replicas := c.submitReplicas("job-000001", "img", 2, 1, model.Normal)
 	c.shardLeader.scheduler.placeAll()
@@ -173,9 +173,9 @@
 	}
 }
 
-// TestReplicaPreemptsNonGPUWork guards against a replica that waits for a host on which less urgent tasks
+// TestReplicaPreemptsNonGPUTasks guards against a replica that waits for a host on which less urgent tasks
 // without GPUs run. Such tasks must be preempted for the replica; equally urgent ones must not.
-func TestReplicaPreemptsNonGPUWork(t *testing.T) {
+func TestReplicaPreemptsNonGPUTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		urgency model.Urgency
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -99,10 +99,10 @@
 	}
 }
 
-// TestLentDates guards against lost or changed dates of lent jobs. A job is lent only when its date
+// TestDatesOfLentJobs guards against lost or changed dates of lent jobs. A job is lent only when its date
 // is durable, its record keeps its first date, it gets no new date while it is lent, and the end
 // record made from the peer's report has its date.
-func TestLentDates(t *testing.T) {
+func TestDatesOfLentJobs(t *testing.T) {
 	controller, team := newPromisingController(t)
 	controller.frontend.watchCache.openJobs = map[string]openJob{}
 	job := controller.shardLeader.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, controller.now, 3)
@@ -188,10 +188,10 @@
 	}
 }
 
-// TestDateOfAnEnd guards against a newer date than that of the end record. A write of the end
+// TestNoNewDateAfterEndRecord guards against a newer date than that of the end record. A write of the end
 // record that got no response may still be applied, with the date that it has, so no other date may
 // be decided after it.
-func TestDateOfAnEnd(t *testing.T) {
+func TestNoNewDateAfterEndRecord(t *testing.T) {
 	controller, team := newPromisingController(t)
 	controller.membership.leaseValidUntil = controller.now.Add(time.Hour)
 	doneJob := controller.shardLeader.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, controller.now, 3)
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -59,10 +59,10 @@
 	return request.Compares[i].ModRevision, true
 }
 
-// TestStartsNameTheRanking guards against starts under a replaced ranking. The write of a start
+// TestStartsCompareRankingRevision guards against starts under a replaced ranking. The write of a start
 // must fail when another ranking was set, and the task must be placed again only after that ranking
 // has been read.
-func TestStartsNameTheRanking(t *testing.T) {
+func TestStartsCompareRankingRevision(t *testing.T) {
 	controller := newRankedController(1, barFirst)
 	foo, bar := controller.addWaitingJob("job-1", "foo", 1, 20), controller.addWaitingJob("job-2", "bar", 1, 20)
 	controller.effects = nil
@@ -240,10 +240,10 @@
 	}
 }
 
-// TestWritersOfTheRanking guards against overwritten rankings. A write of a ranking compares the
+// TestRankingWritesCompareRevisions guards against overwritten rankings. A write of a ranking compares the
 // record that its author saw. A write of a derived ranking compares the leader's record, and that
 // there is no ranking.
-func TestWritersOfTheRanking(t *testing.T) {
+func TestRankingWritesCompareRevisions(t *testing.T) {
 	controller := newRankedController(1, fooFirst)
 	set := func(rev uint64) (*message.StoreRequest, *message.RankingReply) {
 		controller.effects = nil
@@ -313,9 +313,9 @@
 	}
 }
 
-// TestRankedWorkIsNotStopped guards against preemption of a higher-ranked job. The protocol lets
+// TestHigherRankedTasksAreNotPreempted guards against preemption of a higher-ranked job. The protocol lets
 // urgent tasks preempt less urgent ones, but not those of a job that ranks before theirs.
-func TestRankedWorkIsNotStopped(t *testing.T) {
+func TestHigherRankedTasksAreNotPreempted(t *testing.T) {
 	for _, text := range []string{fooFirst, barFirst} {
 		controller := newRankedController(1, text)
 		machine := controller.shardLeader.machinesByID[0]
@@ -330,9 +330,9 @@
 	}
 }
 
-// TestNoLaterRankedFirst guards against tasks placed out of rank order. No job may be placed on a
+// TestPlacementFollowsRanking guards against tasks placed out of rank order. No job may be placed on a
 // machine that suits a job that ranks before it and still waits.
-func TestNoLaterRankedFirst(t *testing.T) {
+func TestPlacementFollowsRanking(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SampledFrom([]string{fooFirst, barFirst, "[[class]]\nname=\"u\"\nurgency=\"urgent\"\n[[class]]\nname=\"b\"\nworkloads=[\"ba*\"]\n"}).Draw(t, "ranking")
 		controller := newRankedController(0, text)
--- a/internal/controller/relaunch_takeover_test.go
+++ b/internal/controller/relaunch_takeover_test.go
@@ -64,11 +64,11 @@
 	return count
 }
 
-// TestTenthOfGroupAfterTakeover checks that a successor counts the done tasks of a restored group,
+// TestRelaunchFractionAfterTakeover checks that a successor counts the done tasks of a restored group,
 // so that the four unfinished tasks are a tenth of forty and are relaunched when the timer expires.
 // The record of a done task does not name the task's group. A group restored from the unfinished
 // tasks alone would have four of four unfinished, and none would be relaunched.
-func TestTenthOfGroupAfterTakeover(t *testing.T) {
+func TestRelaunchFractionAfterTakeover(t *testing.T) {
 	controller, job := groupAfterTakeover(t)
 	controller.now = controller.now.Add(2 * time.Minute)
 	for _, machine := range controller.shardLeader.machinesByID {
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -120,11 +120,11 @@
 	}
 }
 
-// TestCancelledWithoutProof guards against renewing the lease of a machine that keeps a
+// TestCancelledJobBoundsRenewal guards against renewing the lease of a machine that keeps a
 // cancelled job's tasks, because stops were lost or starts are in flight. The machine is
 // answered only within the time of the cancelled job, counted from the sending of the
 // cancellation with both clocks wrong. Once the tasks are proven gone it is answered again.
-func TestCancelledWithoutProof(t *testing.T) {
+func TestCancelledJobBoundsRenewal(t *testing.T) {
 	c := largePool(12)
 	c.settings.MaxClockError = time.Second
 	c.frontend.watchCache.openJobs = map[string]openJob{}
@@ -161,11 +161,11 @@
 	}
 }
 
-// TestUnprovenHeartbeatListsCancelled checks a machine that has just moved to this owner.
+// TestUnprovenHeartbeatWithCancelledTask checks a machine that has just moved to this owner.
 // Its tasks may be known only from its heartbeats, as long as their job's owner has not
 // requested them. If that job is cancelled, its time bounds the replies to these heartbeats
 // too, although they have the former owner's epoch and prove nothing.
-func TestUnprovenHeartbeatListsCancelled(t *testing.T) {
+func TestUnprovenHeartbeatWithCancelledTask(t *testing.T) {
 	c := largePool(12)
 	c.frontend.watchCache.openJobs = map[string]openJob{}
 	cancelled := newJob(model.JobSpec{ID: "job-000905", Team: "lab", Tasks: 1}, c.now, 1, 4096)
@@ -193,11 +193,11 @@
 	}
 }
 
-// TestEpochIsShownWhereRenewalEnds guards against losing all tasks on a machine that is not
+// TestEpochIsSentWhenRenewalEnds guards against losing all tasks on a machine that is not
 // answered because a start of a cancelled job may be in flight to it. The higher epoch,
 // which would prove that this start can't take effect, is sent directly before the lease
 // expires.
-func TestEpochIsShownWhereRenewalEnds(t *testing.T) {
+func TestEpochIsSentWhenRenewalEnds(t *testing.T) {
 	c := largePool(12)
 	c.frontend.watchCache.openJobs = map[string]openJob{}
 	m, _ := machineWithTask(c)
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -27,10 +27,10 @@
 	controller.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
 }
 
-// TestStartsNothing checks a machine that sends heartbeats but never starts its tasks: the
+// TestQuarantineNonStartingMachine checks a machine that sends heartbeats but never starts its tasks: the
 // tasks are stopped and placed elsewhere, and the machine gets no more tasks. One slow reply
 // doesn't cause this.
-func TestStartsNothing(t *testing.T) {
+func TestQuarantineNonStartingMachine(t *testing.T) {
 	c := largePool(12)
 	c.shardLeader.jobs = map[string]*job{}
 	for _, m := range c.shardLeader.machinesByID {
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestUpdateOfFormerIncarnation guards against applying updates that a former incarnation of
+// TestUpdateOfFormerIncarnationIgnored guards against applying updates that a former incarnation of
 // a controller sent.
-func TestUpdateOfFormerIncarnation(t *testing.T) {
+func TestUpdateOfFormerIncarnationIgnored(t *testing.T) {
 	c := twoControllers(t)
 	c.membership.controllers["b"] = record.Member{Incarnation: "b#2"}
 	c.leader = newLeader(c)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -86,9 +86,9 @@
 	})
 }
 
-// TestFairOrder guards against one owner that receives all machines of a scarce kind, or all scale-outs,
+// TestRoundRobinOrder guards against one owner that receives all machines of a scarce kind, or all scale-outs,
 // before another owner receives any.
-func TestFairOrder(t *testing.T) {
+func TestRoundRobinOrder(t *testing.T) {
 	kind := kinds[0]
 	requests := func(n int) map[Kind]int { return map[Kind]int{kind: n} }
 	donor := Owner{Host: "c"}
--- a/internal/exchange/transfer_test.go
+++ b/internal/exchange/transfer_test.go
@@ -103,11 +103,11 @@
 	return transfers
 }
 
-// TestTransfersEndAndServe guards against machines that are transferred back and forth without end, and
+// TestTransfersEndAndJobsStart guards against machines that are transferred back and forth without end, and
 // against jobs that wait although machines have free capacity for them. No machine may be transferred twice
 // within MinOwnership, or while a waiting job of its owner fits on it. Transfers must end, and then no job
 // may wait that fits into the free capacity of any machine.
-func TestTransfersEndAndServe(t *testing.T) {
+func TestTransfersEndAndJobsStart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := &transferModel{now: time.Unix(1_750_000_000, 0), transferredAt: map[string][]time.Time{}}
 		start := model.now
@@ -157,9 +157,9 @@
 	})
 }
 
-// TestOwnersOfEachOthersCapacity guards against jobs that wait although each of two owners has free capacity
+// TestOwnersExchangeMachines guards against jobs that wait although each of two owners has free capacity
 // for the job of the other. Both owners must exchange their machines, each machine once.
-func TestOwnersOfEachOthersCapacity(t *testing.T) {
+func TestOwnersExchangeMachines(t *testing.T) {
 	box, rack := Kind{"box", "a", false}, Kind{"rack", "a", false}
 	free := resource.Resources{CPU: 4, Memory: 8}
 	need := resource.Resources{CPU: 2, Memory: 4}
--- a/internal/migration/find_test.go
+++ b/internal/migration/find_test.go
@@ -208,9 +208,9 @@
 	t.Log("plans by length:", lengths)
 }
 
-// TestReplicasChangePlaces covers two replicas that must swap hosts. The total free capacity suffices for
+// TestReplicasSwapHosts covers two replicas that must swap hosts. The total free capacity suffices for
 // the swap, but neither replica can move first. Find must therefore move a third replica away first.
-func TestReplicasChangePlaces(t *testing.T) {
+func TestReplicasSwapHosts(t *testing.T) {
 	gpu := func(g float64) resource.Resources { return resource.Resources{GPU: g} }
 	host := func(id string, size, free float64) Host {
 		return Host{ID: id, Size: gpu(size), Free: gpu(free), Schedulable: true}
--- a/internal/migration/tracker_test.go
+++ b/internal/migration/tracker_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestMigrationsSurvive runs a Tracker in a model with lost and late writes, lost hosts and failovers. It
+// TestTrackerUnderFaults runs a Tracker in a model with lost and late writes, lost hosts and failovers. It
 // guards against replicas that are stopped for a plan that is not durable or whose target lacks
 // capacity, and against plans and holds that remain after all faults are over.
-func TestMigrationsSurvive(t *testing.T) {
+func TestTrackerUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newLeaderModel()
 		t.Repeat(model.actions())
--- a/internal/overflow/model_test.go
+++ b/internal/overflow/model_test.go
@@ -257,10 +257,10 @@
 	}
 }
 
-// TestModelNotices omits one rule at a time, and checks that the model detects the
+// TestModelDetectsOmittedRules omits one rule at a time, and checks that the model detects the
 // omission. The search starts at a seed whose day is known to fail. A change of the
 // model changes the day of each seed; the search then goes on with the next seeds.
-func TestModelNotices(t *testing.T) {
+func TestModelDetectsOmittedRules(t *testing.T) {
 	for _, testCase := range []struct {
 		name      string
 		omitted   omittedRules
--- a/internal/packing/packing_test.go
+++ b/internal/packing/packing_test.go
@@ -28,10 +28,10 @@
 	}), 1, 12).Draw(t, "seen")
 }
 
-// TestWholeHostsAreKeptWhole guards against ratings that fragment empty hosts. For any demands, a
+// TestPartlyUsedHostsArePreferred guards against ratings that fragment empty hosts. For any demands, a
 // placement on a partly used host must not cost more than one on an empty host, and a placement that uses
 // all free capacity must cost nothing.
-func TestWholeHostsAreKeptWhole(t *testing.T) {
+func TestPartlyUsedHostsArePreferred(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t, 8)
 		profile := NewProfile(host, 1, demands)
@@ -54,10 +54,10 @@
 	})
 }
 
-// TestUnusedIsUsable guards against tasks without GPUs that take CPU or memory which replicas need. While
+// TestNonGPUCapacityKeepsGPUsUsable guards against tasks without GPUs that take CPU or memory which replicas need. While
 // such tasks use at most NonGPUCapacity, each usual size that could use all GPUs of an empty host must
 // still be able to, once all replicas have ended.
-func TestUnusedIsUsable(t *testing.T) {
+func TestNonGPUCapacityKeepsGPUsUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t, 12)
 		profile := NewProfile(host, 1, demands)
@@ -88,10 +88,10 @@
 	})
 }
 
-// TestImageOrPacking guards against a fragmentation cost that is out of proportion to image fetch times, so
+// TestFragmentationCostAgainstFetchTime guards against a fragmentation cost that is out of proportion to image fetch times, so
 // that one of the two would always decide a placement. It also checks some results of NonGPUCapacity and
 // FreeCapacity.
-func TestImageOrPacking(t *testing.T) {
+func TestFragmentationCostAgainstFetchTime(t *testing.T) {
 	small, large := replicaNeed(1, 6, 40), replicaNeed(8, 6, 40)
 	demands := []Demand{{Need: small, Tasks: 90, GB: 8}, {Need: replicaNeed(2, 6, 40), Tasks: 10, GB: 16}}
 	profile := NewProfile(host, 1, demands)
--- a/internal/promise/page_writer_test.go
+++ b/internal/promise/page_writer_test.go
@@ -184,10 +184,10 @@
 	})
 }
 
-// TestBadPages guards against dates that go back, or pages that are overwritten, because a
+// TestUnreadablePages guards against dates that go back, or pages that are overwritten, because a
 // page is unreadable. The last readable value of the page stays in force. Without one, no
 // date is known of jobs that are older than the page, and the page is not written.
-func TestBadPages(t *testing.T) {
+func TestUnreadablePages(t *testing.T) {
 	entry := Entry{"job-1", Date{time.Minute, 2}, Outage}
 	good := encodePage(map[string]Entry{entry.Job: entry})
 	var pages Pages
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -19,9 +19,9 @@
 // lease is the duration of a worker lease.
 const lease = 25 * time.Second
 
-// TestDoubts checks what raises a suspicion that a machine is unreachable, what does not,
+// TestSuspicion checks what raises a suspicion that a machine is unreachable, what does not,
 // and what ends it.
-func TestDoubts(t *testing.T) {
+func TestSuspicion(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(detector *Detector)
@@ -152,10 +152,10 @@
 	}
 }
 
-// TestManyBeforeTheirLease guards against losing many machines to one network fault. In a
+// TestCorrelatedReleaseWaitsForLease guards against losing many machines to one network fault. In a
 // correlated failure one machine is released when its lease has certainly expired, and none
 // before, though each alone would be.
-func TestManyBeforeTheirLease(t *testing.T) {
+func TestCorrelatedReleaseWaitsForLease(t *testing.T) {
 	policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(-60)}
 	unreachable := []Machine{{"vm-1", 1, lease}, {"vm-2", 0, lease}, {"vm-3", 0, lease}, {"vm-4", 0, lease}}
 	if got := SelectReleases(t0, policy, 30, unreachable); len(got) != 0 {
--- a/internal/readbatch/readbatch_test.go
+++ b/internal/readbatch/readbatch_test.go
@@ -25,10 +25,10 @@
 	return "", false
 }
 
-// TestLookup guards against requests that are lost or answered by the wrong read. Whatever is
+// TestRequestsAreAnswered guards against requests that are lost or answered by the wrong read. Whatever is
 // requested and however reads fail, each request is answered by a read that was sent after it
 // and covers its name, and no request stays pending.
-func TestLookup(t *testing.T) {
+func TestRequestsAreAnswered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stored []string
 		for i := range rapid.IntRange(0, 400).Draw(t, "stored") {
@@ -104,10 +104,10 @@
 	})
 }
 
-// TestStormIsFewReads guards against one read for each record when a thousand records are
+// TestManyRequestsShareLists guards against one read for each record when a thousand records are
 // requested at the same time: about one list a page must answer them. A few records are read
 // singly.
-func TestStormIsFewReads(t *testing.T) {
+func TestManyRequestsShareLists(t *testing.T) {
 	var batcher Batcher
 	var stored []string
 	for i := range 1000 {
--- a/internal/remote/registry_test.go
+++ b/internal/remote/registry_test.go
@@ -215,10 +215,10 @@
 	rapid.Check(t, func(t *rapid.T) { t.Repeat(newOwnerModel().actions()) })
 }
 
-// TestModelNotices checks that the model detects a missing condition: without the condition,
+// TestModelDetectsMissingCondition checks that the model detects a missing condition: without the condition,
 // a job's owner believes an attempt gone that is on the machine. A model that misses this
 // would prove nothing.
-func TestModelNotices(t *testing.T) {
+func TestModelDetectsMissingCondition(t *testing.T) {
 	attempt := func(n uint64) AttemptID { return AttemptID{"job", 0, n} }
 	detects := func(disabled string, steps func(model *ownerModel, rt *rapid.T)) (noticed bool) {
 		// The steps are fixed; rapid.Check only supplies a *rapid.T.
@@ -281,9 +281,9 @@
 	}
 }
 
-// TestRegistry checks that a requested stop is final, that a requested attempt uses
+// TestRequestsAndStatuses checks that a requested stop is final, that a requested attempt uses
 // capacity, and that a status is sent again periodically, which makes up for a lost message.
-func TestRegistry(t *testing.T) {
+func TestRequestsAndStatuses(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	a, b := AttemptID{"j", 0, 1}, AttemptID{"j", 1, 1}
 	registry := &Registry{}
@@ -380,9 +380,9 @@
 	}
 }
 
-// TestLost checks that requested attempts are gone with their machine, except the attempts
+// TestMarkMachineGone checks that requested attempts are gone with their machine, except the attempts
 // started since.
-func TestLost(t *testing.T) {
+func TestMarkMachineGone(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	a, b := AttemptID{"j", 0, 1}, AttemptID{"j", 1, 1}
 	registry := &Registry{}
--- a/internal/renewalbound/renewalbound_test.go
+++ b/internal/renewalbound/renewalbound_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestLastLeaseEndsInTime guards against a lease that outlives CancelTimeout. A cancellation
+// TestLastLeaseEndsWithinCancelTimeout guards against a lease that outlives CancelTimeout. A cancellation
 // that the shard leader has not read was confirmed after its known time; the last lease that
 // it renews must end in time, also by a worker's slow clock. If the settings leave no
 // window, Shortfall bounds how late the lease may end.
-func TestLastLeaseEndsInTime(t *testing.T) {
+func TestLastLeaseEndsWithinCancelTimeout(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		duration := func(name string, least, most int) time.Duration {
 			return time.Duration(rapid.IntRange(least*1000, most*1000).Draw(t, name)) * time.Millisecond
--- a/internal/selfmonitor/selfmonitor_test.go
+++ b/internal/selfmonitor/selfmonitor_test.go
@@ -12,9 +12,9 @@
 // at returns the time s seconds after t0.
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-// TestReceivesNothing guards against giving up a shard because of a silence that is
+// TestReceivePartitioned guards against giving up a shard because of a silence that is
 // explained by chance, by a pause of the process itself, or by a failover.
-func TestReceivesNothing(t *testing.T) {
+func TestReceivePartitioned(t *testing.T) {
 	const every = 10 * time.Second
 	for _, c := range []struct {
 		name      string
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestLateRecords guards against two owners of a machine that use the same epoch: a reader that
+// TestLaggingReaderSeesLowerEpochs guards against two owners of a machine that use the same epoch: a reader that
 // lags behind must see the present owner, or a lower epoch than the present owner has.
-func TestLateRecords(t *testing.T) {
+func TestLaggingReaderSeesLowerEpochs(t *testing.T) {
 	sim := newSimulation(testLimits, 3, 4)
 	sim.planUntilStable(t)
 	stale := NewMap()
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestTenThousand checks that 10,000 machines, 50 teams and 7 controllers stay within values of
+// TestTenThousandMachines checks that 10,000 machines, 50 teams and 7 controllers stay within values of
 // 4 KiB and 12 changes a transaction, and that renting and losing a thousand machines each in a
 // minute costs a few changes a second.
-func TestTenThousand(t *testing.T) {
+func TestTenThousandMachines(t *testing.T) {
 	sim := newSimulation(testLimits, 7, 50)
 	sim.planUntilStable(t)
 	hosts := sim.hosts()
@@ -102,9 +102,9 @@
 	sim.checkComplete(t)
 }
 
-// TestSpread checks that a controller that comes back gets teams within a minute, and that
+// TestReturningControllerGetsTeams checks that a controller that comes back gets teams within a minute, and that
 // nothing moves afterwards.
-func TestSpread(t *testing.T) {
+func TestReturningControllerGetsTeams(t *testing.T) {
 	for _, teams := range []int{1, 2, 3, 4, 9, 50} {
 		t.Run(fmt.Sprint(teams), func(t *testing.T) {
 			sim := newSimulation(testLimits, 3, teams)
@@ -264,8 +264,8 @@
 	}
 }
 
-// TestNames checks that machine names of any form are the same after encoding and decoding.
-func TestNames(t *testing.T) {
+// TestMachineNamesSurviveEncoding checks that machine names of any form are the same after encoding and decoding.
+func TestMachineNamesSurviveEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.OneOf(
 			rapid.Custom(func(t *rapid.T) string { return fmt.Sprintf("vm-%06d", rapid.IntRange(0, 300).Draw(t, "n")) }),
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -337,11 +337,11 @@
 	checkNoViolations(t, world)
 }
 
-// TestReleaseNeedsStoredEnd guards against a dependent that starts before the end of its dependency is stored.
+// TestDependentWaitsForStoredEnd guards against a dependent that starts before the end of its dependency is stored.
 // The state service refuses the write that the job is done, while all tasks of the job are done and its shard
 // leader knows this. No dependent may start meanwhile, also if all controllers crash. Once the write
 // succeeds, the dependents must run.
-func TestReleaseNeedsStoredEnd(t *testing.T) {
+func TestDependentWaitsForStoredEnd(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		world := newTestWorld(11)
 		jobA, jobB, jobC := world.submitChain(10 * time.Second)
@@ -377,9 +377,9 @@
 	}
 }
 
-// TestStoredEndIsChecked checks that checkDependencies reports a start of a dependent after all tasks of the
+// TestStartBeforeStoredEndIsDetected checks that checkDependencies reports a start of a dependent after all tasks of the
 // dependency are done but before the state service has stored its end.
-func TestStoredEndIsChecked(t *testing.T) {
+func TestStartBeforeStoredEndIsDetected(t *testing.T) {
 	world := newTestWorld(3)
 	jobA, jobB, _ := world.submitChain(10 * time.Second)
 	if world.waitUntil(2*time.Minute, func() bool { return !jobA.tasksDoneAt.IsZero() }) < 0 {
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -58,10 +58,10 @@
 	}
 }
 
-// TestOwnersWithRoomForEachOther has two shard leaders, each with one machine whose free capacity only
+// TestShardLeadersWithCapacityForEachOther has two shard leaders, each with one machine whose free capacity only
 // fits the waiting job of the other. It guards against a deadlock in which neither job starts, and
 // against transfers that restart running tasks.
-func TestOwnersWithRoomForEachOther(t *testing.T) {
+func TestShardLeadersWithCapacityForEachOther(t *testing.T) {
 	types, _ := testTypes()
 	world := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1, "small/a/false": 1})
 	world.faultsEndAt = world.now
@@ -83,9 +83,9 @@
 	checkNoViolations(t, world)
 }
 
-// TestRoomBesideReplicas submits a job that fits only beside long-running replicas of another shard. It
+// TestFreeCapacityBesideReplicas submits a job that fits only beside long-running replicas of another shard. It
 // guards against a transfer that waits for replicas, which never end, or restarts them.
-func TestRoomBesideReplicas(t *testing.T) {
+func TestFreeCapacityBesideReplicas(t *testing.T) {
 	world := bigMachines(5, 1)
 	spec := longJob("job-000001", 4)
 	spec.LongRunning, spec.ExpectedRunTime = true, 0
@@ -98,10 +98,10 @@
 	checkPlaced(t, world, "job-000002")
 }
 
-// TestRoomAtTheTeamsLimit submits a job that fills the quota limit of its team exactly, with tasks on
+// TestFreeCapacityAtQuotaLimit submits a job that fills the quota limit of its team exactly, with tasks on
 // machines of both shards. It guards against a transfer that lets the team exceed the limit: the
 // next job of the team waits for quota and must get no machine.
-func TestRoomAtTheTeamsLimit(t *testing.T) {
+func TestFreeCapacityAtQuotaLimit(t *testing.T) {
 	world := bigMachines(7, 2)
 	world.Submit(longJob("job-000001", 10), time.Hour, false)
 	world.Run(time.Minute)
@@ -118,11 +118,11 @@
 	}
 }
 
-// TestRoomAmongSeveralTeams has three or four teams, of which all but the last have a machine in use. Then
+// TestFreeCapacityAmongTeams has three or four teams, of which all but the last have a machine in use. Then
 // it submits jobs of all teams but the first, each of which fits beside one running task only, mostly
 // that of another team. It guards against a job that waits although a machine of another shard has
 // capacity for it.
-func TestRoomAmongSeveralTeams(t *testing.T) {
+func TestFreeCapacityAmongTeams(t *testing.T) {
 	for _, teams := range []int{3, 4} {
 		t.Run(fmt.Sprint(teams), func(t *testing.T) {
 			t.Parallel()
@@ -157,7 +157,7 @@
 	}
 }
 
-// transferFaults are the faults that TestTransferMeetsFaults injects around a transfer, by name. Crashed
+// transferFaults are the faults that TestFaultsDuringTransfer injects around a transfer, by name. Crashed
 // controllers restart after 0.1 s. The other faults last 5 s or 10 s, but the messages that they delay can
 // arrive later.
 var transferFaults = map[string]func(*World){
@@ -187,9 +187,9 @@
 	return out
 }
 
-// TestTransferMeetsFaults injects each of the transferFaults at each of the transferMoments. It guards
+// TestFaultsDuringTransfer injects each of the transferFaults at each of the transferMoments. It guards
 // against a fault that makes the waiting job wait too long, or restarts the tasks that run on the machine.
-func TestTransferMeetsFaults(t *testing.T) {
+func TestFaultsDuringTransfer(t *testing.T) {
 	for _, name := range sortedKeys(transferFaults) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/sizelimit/sizelimit_test.go
+++ b/internal/sizelimit/sizelimit_test.go
@@ -27,9 +27,9 @@
 		rapid.MapOfN(rapid.StringN(0, 12, 24), anyValue(depth-1), 0, 20).AsAny())
 }
 
-// TestJSONIsAnUpperBound guards against a bound that is too small: a receiver that encodes JSONSize
+// TestJSONSizeIsAnUpperBound guards against a bound that is too small: a receiver that encodes JSONSize
 // with spaces or escapes would count more bytes and refuse a message that passed the check here.
-func TestJSONIsAnUpperBound(t *testing.T) {
+func TestJSONSizeIsAnUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := anyValue(3).Draw(t, "value")
 		b, err := msgpack.Marshal(v)
@@ -62,9 +62,9 @@
 	})
 }
 
-// TestJSONOfAnything guards against a panic, or a length without an error, on bytes that are not
+// TestJSONSizeOfArbitraryBytes guards against a panic, or a length without an error, on bytes that are not
 // a value.
-func TestJSONOfAnything(t *testing.T) {
+func TestJSONSizeOfArbitraryBytes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, err := JSONSize(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
 		if err == nil && n <= 0 {
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestOneLongStep checks that a step that took long for reasons other than its slice shrinks the
+// TestSliceSizeAfterLongStep checks that a step that took long for reasons other than its slice shrinks the
 // slice size by at most half, and that a series of short slices does not make it grow.
-func TestOneLongStep(t *testing.T) {
+func TestSliceSizeAfterLongStep(t *testing.T) {
 	var budget SliceBudget
 	before := budget.Slice()
 	budget.Record(before, 10*time.Second)
