--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -82,7 +82,7 @@
 	return serve(ctx, &limitedListener{listener, handlers.conns}, router, handlers.conns)
 }
 
-// ServeOperators serves the controller's status as JSONSize, and its metrics, on listener until the
+// ServeOperators serves the controller's status as JSON, and its metrics, on listener until the
 // context ends. The listener's address is the controllers' internal one, which users can't reach.
 // Each function in extraRoutes adds the routes of an optional feature.
 func ServeOperators(ctx context.Context, listener net.Listener, backend Backend, metrics http.Handler, extraRoutes ...func(*echo.Echo)) error {
--- a/internal/api/operators.go
+++ b/internal/api/operators.go
@@ -14,7 +14,7 @@
 // it replies to a change of the ranking.
 const operatorTimeout = 4 * time.Second
 
-// status responds with the controller's status as JSONSize.
+// status responds with the controller's status as JSON.
 func (handlers *handlers) status(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), controllerTimeout)
 	defer cancel()
--- a/internal/api/ranking.go
+++ b/internal/api/ranking.go
@@ -64,7 +64,7 @@
 }
 
 // forwardRanking passes an operator's command on the ranking to the controller, and responds with the
-// controller's reply as JSONSize.
+// controller's reply as JSON.
 func forwardRanking(c echo.Context, backend Backend, newCommand func(reply uint64) message.Command) error {
 	reply, err := askForOperator[message.RankingReply](c, backend, newCommand)
 	if err != nil {
--- a/internal/api/size_test.go
+++ b/internal/api/size_test.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// maxConnMemory is how many bytes of the server's memory one connection may use, including its
+	// connMemory is how many bytes of the server's memory one connection may use, including its
 	// goroutine and buffers. workerMemory is how many bytes may remain allocated for each worker
 	// that has sent a heartbeat.
 	connMemory   = 48 << 10
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -50,7 +50,7 @@
 	heap[simulatedCandidate, *simulatedCandidate]
 }
 
-// candidateQueues holds the queues for a list of machines of a simulation. The first indexed
+// candidateQueues holds the queues for a list of machines of a simulation. The first indexedCount
 // machines of the list are in the queues.
 type candidateQueues struct {
 	indexedCount int
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -251,7 +251,7 @@
 	return tracker.controller.shardLeader.failover.sinceLastHeartbeat(m) > tracker.unresponsiveAfter(m) && tracker.now.Sub(m.reroutedAt) > tracker.unresponsiveAfter(m)
 }
 
-// unresponsiveIntervals returns how long a machine must have been silent to count as unresponsive.
+// unresponsiveAfter returns how long a machine must have been silent to count as unresponsive.
 func (tracker *heartbeatTracker) unresponsiveAfter(m *machine) time.Duration {
 	limit := time.Duration(probeAfterIntervals*float64(tracker.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
 	if m.heard && m.unansweredProbes < unresponsiveProbes {
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -77,7 +77,7 @@
 	seq         uint64
 	ackedSeq    map[string]uint64
 	requiredSeq map[string]uint64
-	// publishPart selects the machines that are published although nothing about them has
+	// publishTurn selects the machines that are published although nothing about them has
 	// changed.
 	publishTurn int
 
--- a/internal/controller/left_waiting.go
+++ b/internal/controller/left_waiting.go
@@ -155,7 +155,7 @@
 	return capacity
 }
 
-// machineExpected reports whether a machine that fits a task of the job is expected to be ready
+// machineExpectedSoon reports whether a machine that fits a task of the job is expected to be ready
 // within expectedCapacityHorizon.
 func (scheduler *scheduler) machineExpectedSoon(job *job) bool {
 	for rental := range scheduler.controller.shardLeader.fleet.expectedFor(job) {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -54,7 +54,7 @@
 
 // loanState is the part of a job that concerns loans.
 type loanState struct {
-	// lentTo is the peer that has the job, or "". lending says that a transaction that lends the
+	// lentTo is the peer that has the job, or "". lendInFlight says that a transaction that lends the
 	// job is in flight.
 	lentTo          string
 	lendCount       uint64
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -162,7 +162,7 @@
 	evacuatingForOtherShard bool
 }
 
-// image is a container image on a machine: cached, or being fetched. last is when a task
+// image is a container image on a machine: cached, or being fetched. lastUsedAt is when a task
 // last used it.
 type image struct {
 	sizeGB     float64
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -90,7 +90,7 @@
 	return migrations.state
 }
 
-// maxRecordBytes returns the largest size of a team's migration record, in bytes of JSONSize.
+// maxRecordBytes returns the largest size of a team's migration record, in bytes of JSON.
 func (migrations *migrationManager) maxRecordBytes() int {
 	return migrations.settings.MaxValueBytes * 3 / 4
 }
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -68,7 +68,7 @@
 	// controller report to it.
 	reroutesReportedAt time.Time
 	// standDownUntil is until when this controller stands down after it gave up its
-	// roles. unheard means that it did so because the workers didn't receive its messages,
+	// roles. sendPartitioned means that it did so because the workers didn't receive its messages,
 	// although it received theirs.
 	standDownUntil  time.Time
 	sendPartitioned bool
@@ -88,7 +88,7 @@
 	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
 }
 
-// receivePartition reports whether this controller stands down because it was partitioned
+// isStandingDown reports whether this controller stands down because it was partitioned
 // from the workers.
 func (detector *partitionDetector) isStandingDown(now time.Time) bool {
 	return now.Before(detector.standDownUntil)
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -61,7 +61,7 @@
 	// being fetched.
 	fetchRate  float64
 	fetchCount int
-	// packingProfile is the usual demand on machines of this type if they have GPUs, and nil
+	// packingKind is the usual demand on machines of this type if they have GPUs, and nil
 	// otherwise.
 	packingKind *packing.Profile
 }
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -24,7 +24,7 @@
 	return prefix, value, len(digits), err == nil
 }
 
-// prewarmedImageOverhead is the size of an image in a record's JSONSize without its name and its machines, in
+// prewarmedImageOverhead is the size of an image in a record's JSON without its name and its machines, in
 // bytes.
 const prewarmedImageOverhead = 32
 
--- a/internal/controller/promise_pages.go
+++ b/internal/controller/promise_pages.go
@@ -46,7 +46,7 @@
 func teamPagePrefix(team string) string { return pagePrefix + teamKey(team) + "/" }
 
 // maxPageBytes returns the limit for the size of a page, and of the records of quotes and totals,
-// in bytes as JSONSize.
+// in bytes as JSON.
 func (promises *promiseState) maxPageBytes() int { return promises.settings.MaxValueBytes * 3 / 4 }
 
 // applyPage applies a page to the watch cache. It reports whether the key, which is under open/, is
--- a/internal/controller/segment_txn.go
+++ b/internal/controller/segment_txn.go
@@ -6,7 +6,7 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// targetTxnBytes is the size, in bytes of JSONSize, up to which a transaction is filled. The remaining
+// targetTxnBytes is the size, in bytes of JSON, up to which a transaction is filled. The remaining
 // quarter is reserved for the fields that every transaction has in addition to compares and writes.
 const targetTxnBytes = sizelimit.MaxTxnBytes * 3 / 4
 
@@ -21,7 +21,7 @@
 type segmentTxn struct {
 	op       message.StoreRequest
 	included []segmentWrite
-	// size estimates the size of the transaction, in bytes of JSONSize.
+	// size estimates the size of the transaction, in bytes of JSON.
 	size int
 	// comparedShards and comparedJobs contain the keys of the shard records and the IDs of the jobs
 	// that the transaction already compares.
--- a/internal/controller/transfers.go
+++ b/internal/controller/transfers.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// handOverTime assigns a machine to another shard leader. The next write of the shard map records
+// handOver assigns a machine to another shard leader. The next write of the shard map records
 // the change.
 func (leader *leader) handOver(transfer exchange.Transfer) {
 	leader.sharding.unrecordedMachines[transfer.ID] = sharding.NewMachine{ID: transfer.ID, Host: transfer.To, KnownAt: leader.now}
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -47,7 +47,7 @@
 	Lease time.Duration
 	// MaxStarts is the number of tasks that may be freed to start elsewhere at a time.
 	MaxStarts int
-	// ReceivePartitioned: the controller has received no heartbeat of any machine for longer than
+	// ReceivesNothing: the controller has received no heartbeat of any machine for longer than
 	// can be a coincidence.
 	ReceivesNothing bool
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -9,7 +9,7 @@
 // A request and its response have the same ID, which the controller chooses. A command that
 // waits for a reply has a Reply number, which the server assigns; the reply repeats the number.
 //
-// A zero time.Time means that there is no such time. The JSONSize field names are part of the answers
+// A zero time.Time means that there is no such time. The JSON field names are part of the answers
 // that operators and their programs read, so they do not change.
 package message
 
--- a/internal/migration/record.go
+++ b/internal/migration/record.go
@@ -95,7 +95,7 @@
 	return rec
 }
 
-// recordBytes returns the size of a team's record in bytes of JSONSize, which is how the state service
+// recordBytes returns the size of a team's record in bytes of JSON, which is how the state service
 // measures it. It returns math.MaxInt if the record can't be encoded.
 func (tracker *Tracker) recordBytes(team string) int {
 	value, err := msgpack.Marshal(tracker.record(team))
--- a/internal/migration/tracker.go
+++ b/internal/migration/tracker.go
@@ -34,7 +34,7 @@
 
 // Limits are the limits for a new plan.
 type Limits struct {
-	// MaxRecordBytes bounds the team's record, in bytes of JSONSize.
+	// MaxRecordBytes bounds the team's record, in bytes of JSON.
 	MaxRecordBytes int
 	// MaxMovingFraction bounds the fraction of the machines of a kind that replicas move away
 	// from at the same time. One plan is allowed whatever the fraction.
@@ -67,7 +67,7 @@
 type Tracker struct {
 	// Cooldown is how long a replica may not move again after a move.
 	Cooldown time.Duration
-	// MaxRecordBytes bounds a recovered record, in bytes of JSONSize; 0 means no bound.
+	// MaxRecordBytes bounds a recovered record, in bytes of JSON; 0 means no bound.
 	MaxRecordBytes int
 	Stats          Stats
 	plans          []*ActivePlan
--- a/internal/promise/page_writer.go
+++ b/internal/promise/page_writer.go
@@ -10,7 +10,7 @@
 // caller decides when to write: it takes a page from NextWrite and reports the outcome by
 // MarkWritten, MarkUncertain, SetRevision or Abandon.
 type PageWriter struct {
-	// maxBytes is the largest size of a page in bytes as JSONSize.
+	// maxBytes is the largest size of a page in bytes as JSON.
 	maxBytes int
 	pages    map[int]*page
 	// pageOf has the number of the page that holds a job's entry, by job.
@@ -21,7 +21,7 @@
 type page struct {
 	modRevision uint64
 	entries     map[string]Entry
-	// size is an upper bound of the page's size in bytes as JSONSize.
+	// size is an upper bound of the page's size in bytes as JSON.
 	size int
 	// dirty has the jobs whose entries are not known to be durable.
 	dirty map[string]bool
@@ -36,7 +36,7 @@
 }
 
 // NewPageWriter returns a writer without pages. limit is the largest size of a page in
-// bytes as JSONSize.
+// bytes as JSON.
 func NewPageWriter(limit int) *PageWriter {
 	return &PageWriter{maxBytes: limit, pages: map[int]*page{}, pageOf: map[string]int{}}
 }
@@ -101,7 +101,7 @@
 	delete(page.entries, job)
 }
 
-// rowBytes returns an upper bound of an entry's size as JSONSize, in bytes and with the
+// rowBytes returns an upper bound of an entry's size as JSON, in bytes and with the
 // separator.
 func rowBytes(entry Entry) int { return jsonSize(encode(entry.stored())) + 2 }
 
--- a/internal/promise/page_writer_test.go
+++ b/internal/promise/page_writer_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// writerLimit is the largest size of a page in the tests, in bytes as JSONSize.
+// writerLimit is the largest size of a page in the tests, in bytes as JSON.
 const writerLimit = 400
 
 // storedPage is a page as the state service stores it.
--- a/internal/promise/pages.go
+++ b/internal/promise/pages.go
@@ -133,7 +133,7 @@
 }
 
 // NewWriter returns a writer that continues the cached pages whose keys begin with prefix.
-// limit is the largest size of a page in bytes as JSONSize.
+// limit is the largest size of a page in bytes as JSON.
 func (pages *Pages) NewWriter(prefix string, limit int) *PageWriter {
 	writer := NewPageWriter(limit)
 	for _, key := range slices.Sorted(maps.Keys(pages.byKey)) {
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -173,7 +173,7 @@
 	return value
 }
 
-// jsonSize returns an upper bound of the size of an encoded record as JSONSize, in bytes.
+// jsonSize returns an upper bound of the size of an encoded record as JSON, in bytes.
 func jsonSize(value []byte) int {
 	size, err := sizelimit.JSONSize(value)
 	if err != nil {
--- a/internal/promise/quotes.go
+++ b/internal/promise/quotes.go
@@ -280,7 +280,7 @@
 func (class *storedClass) factors() []int { return []int{class.F0, class.F1, class.F2, class.F3} }
 
 // Encode returns what other controllers need to quote dates for the team, in up to limit
-// bytes as JSONSize. It has as many classes as fit, the most recently seen first.
+// bytes as JSON. It has as many classes as fit, the most recently seen first.
 func (quoter *Quoter) Encode(team string, limit int) []byte {
 	names := slices.SortedFunc(maps.Keys(quoter.classes), func(a, value string) int { return quoter.classes[value].lastSeen - quoter.classes[a].lastSeen })
 	hundredths := func(f float64) int { return int(math.Round(100 * f)) }
--- a/internal/promise/totals.go
+++ b/internal/promise/totals.go
@@ -182,7 +182,7 @@
 	return &clone
 }
 
-// Encode returns the record, in up to limit bytes as JSONSize if possible. To fit the limit,
+// Encode returns the record, in up to limit bytes as JSON if possible. To fit the limit,
 // it merges the rows with the fewest jobs into the others' row. It changes the receiver in
 // the same way, so that it equals what readers of the record decode.
 func (totals *Totals) Encode(limit int) []byte {
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -32,7 +32,7 @@
 // Detector holds the evidence on whether one machine receives its owner's messages. The zero
 // value has no suspicion.
 type Detector struct {
-	// expectsEffect means that a heartbeat has to show the effect of a reply; misses counts the
+	// expectsEffect means that a heartbeat has to show the effect of a reply; missedEffects counts the
 	// heartbeats in a row that didn't.
 	expectsEffect bool
 	missedEffects int
--- a/internal/record/control.go
+++ b/internal/record/control.go
@@ -32,7 +32,7 @@
 	// LeaseID is the ID of the membership lease in the state service.
 	LeaseID     uint64 `msgpack:"grant"`
 	Incarnation string `msgpack:"nonce"`
-	// ReceivePartitioned is true if no worker's heartbeat reaches the controller (an inbound
+	// ReceivesNothing is true if no worker's heartbeat reaches the controller (an inbound
 	// partition). The leader must not assign a shard to such a controller.
 	ReceivesNothing bool `msgpack:"deaf,omitempty"`
 	// StartedAt is the start time of the controller's process, in Unix milliseconds.
--- a/internal/record/task.go
+++ b/internal/record/task.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// maxTaskEntryBytes is an upper bound on the length of a TaskEntry as JSONSize, in bytes: an index of
+// maxTaskEntryBytes is an upper bound on the length of a TaskEntry as JSON, in bytes: an index of
 // six digits, an attempt, a machine's name, a time and two flags. The state service measures the
-// size of a value as JSONSize.
+// size of a value as JSON.
 const maxTaskEntryBytes = 72
 
 // MaxTasksPerSegment returns the number of tasks with which a segment fits into a value of
--- a/internal/sharding/segments.go
+++ b/internal/sharding/segments.go
@@ -196,7 +196,7 @@
 	return Write{}, nil
 }
 
-// fitsInto reports whether a record takes at most limit bytes as JSONSize.
+// fitsInto reports whether a record takes at most limit bytes as JSON.
 func fitsInto(value []byte, limit int) bool {
 	size, err := sizelimit.JSONSize(value)
 	return err == nil && size <= limit
--- a/internal/sizelimit/sizelimit.go
+++ b/internal/sizelimit/sizelimit.go
@@ -1,8 +1,8 @@
 // Package sizelimit measures messages and transactions before they are sent. The state service,
 // the workers and the other controllers have limits, and refuse a message that exceeds one as
-// malformed each time it is sent. The protocol counts a body's bytes in its JSONSize form. The
+// malformed each time it is sent. The protocol counts a body's bytes in its JSON form. The
 // package computes an upper bound of that size from the MessagePack that is sent, without
-// building the JSONSize.
+// building the JSON.
 package sizelimit
 
 import (
@@ -18,15 +18,15 @@
 const (
 	// MaxKeyBytes is the length of the longest key that the state service accepts, in bytes.
 	MaxKeyBytes = 200
-	// MaxTxnBytes is the size of the largest transaction, in bytes of JSONSize.
+	// MaxTxnBytes is the size of the largest transaction, in bytes of JSON.
 	MaxTxnBytes = 64 << 10
 	// MaxBodyBytes is the size of the largest body to or from workers and users, in bytes of
-	// JSONSize.
+	// JSON.
 	MaxBodyBytes = 64 << 10
 	// ComparesPerOp is the number of compares that a transaction may have for each operation of
 	// Limits.Ops.
 	ComparesPerOp = 4
-	// separatorBytes is the size of the separator between two values or after a key in JSONSize,
+	// separatorBytes is the size of the separator between two values or after a key in JSON,
 	// including the space that some encoders add.
 	separatorBytes = 2
 	// maxDepth is the deepest nesting of values.
@@ -36,7 +36,7 @@
 // ErrValue reports that bytes are not exactly one MessagePack value without binary parts.
 var ErrValue = errors.New("sizelimit: not a MessagePack value without binary parts")
 
-// JSONSize returns an upper bound of the length of a MessagePack value as JSONSize, in bytes. The bound
+// JSONSize returns an upper bound of the length of a MessagePack value as JSON, in bytes. The bound
 // assumes spaces after commas and colons, and escapes for all characters other than ASCII. The
 // error is ErrValue.
 func JSONSize(data []byte) (int, error) {
@@ -139,7 +139,7 @@
 	return StringSize(string(data[:length])), data[length:], nil
 }
 
-// StringSize returns an upper bound of a string's length as JSONSize, in bytes.
+// StringSize returns an upper bound of a string's length as JSON, in bytes.
 func StringSize(s string) int {
 	size := 2
 	for _, r := range s {
@@ -178,7 +178,7 @@
 
 // Limits are the configurable limits of the state service.
 type Limits struct {
-	// ValueBytes is the size of the largest value, in bytes of JSONSize. Ops is the largest number
+	// ValueBytes is the size of the largest value, in bytes of JSON. Ops is the largest number
 	// of puts and deletes in a transaction.
 	ValueBytes int
 	Ops        int
@@ -190,7 +190,7 @@
 	Value []byte
 }
 
-// writeOverhead and compareOverhead bound the bytes that a write and a compare take in JSONSize in
+// writeOverhead and compareOverhead bound the bytes that a write and a compare take in JSON in
 // addition to key and value: field names, braces, a lease or a mod revision. txnOverhead is the
 // size of an empty transaction.
 const (
@@ -209,7 +209,7 @@
 	return write.overheadBytes() + size
 }
 
-// valueBytes returns an upper bound of the value's length as JSONSize, in bytes. A delete has no
+// valueBytes returns an upper bound of the value's length as JSON, in bytes. A delete has no
 // value.
 func (write Write) valueBytes() (int, error) {
 	if write.Value == nil {
--- a/internal/sizelimit/sizelimit_test.go
+++ b/internal/sizelimit/sizelimit_test.go
@@ -27,7 +27,7 @@
 		rapid.MapOfN(rapid.StringN(0, 12, 24), anyValue(depth-1), 0, 20).AsAny())
 }
 
-// TestJSONSizeIsAnUpperBound guards against a bound that is too small: a receiver that encodes JSONSize
+// TestJSONSizeIsAnUpperBound guards against a bound that is too small: a receiver that encodes JSON
 // with spaces or escapes would count more bytes and refuse a message that passed the check here.
 func TestJSONSizeIsAnUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		spaced, _ := json.MarshalIndent(v, "", "")
-		// Indented JSONSize has a line end after each comma and bracket. An encoder that writes ASCII
+		// Indented JSON has a line end after each comma and bracket. An encoder that writes ASCII
 		// only escapes all other characters.
 		escaped := len(compact)
 		for _, r := range string(compact) {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -24,7 +24,7 @@
 	// includes the wait for a slot and the dialing.
 	dialTimeout    = time.Second
 	requestTimeout = 2 * time.Second
-	// maxResponseBytes is the maximum size of a response; the protocol's limit is 64 KiB as JSONSize.
+	// maxResponseBytes is the maximum size of a response; the protocol's limit is 64 KiB as JSON.
 	maxResponseBytes = 256 << 10
 	// idleFraction is the fraction of the process's sockets that idle connections may use. Idle
 	// connections are kept because opening a connection costs more than a request.
