--- a/cmd/micahill-lab/days.go
+++ b/cmd/micahill-lab/days.go
@@ -79,9 +79,9 @@
 				options.search.seed = max(1, options.params.Seed)
 				return options.search.run(out, progress, options.params, options.parallel)
 			case cmd.Flags().Changed("seed") || options.dayFile != "":
-				return options.playOne(out, progress)
+				return options.runOne(out, progress)
 			}
-			return printDays(out, options.playAll(), options.asJSON, options.count == 1)
+			return printDays(out, options.runAll(), options.asJSON, options.count == 1)
 		},
 	}
 	options.addFlags(command)
@@ -131,8 +131,8 @@
 	return params.Validate()
 }
 
-// playOne runs a single day, generated or loaded from a file, and prints its log and its groups.
-func (options *daysOptions) playOne(out, progress io.Writer) error {
+// runOne runs a single day, generated or loaded from a file, and prints its log and its groups.
+func (options *daysOptions) runOne(out, progress io.Writer) error {
 	day := simulation.GenerateDay(options.params)
 	if options.dayFile != "" {
 		var err error
@@ -151,9 +151,9 @@
 	return printDays(out, []simulation.DayResult{result}, options.asJSON, true)
 }
 
-// playAll generates and runs days with consecutive seeds, and returns their results in that
+// runAll generates and runs days with consecutive seeds, and returns their results in that
 // order.
-func (options *daysOptions) playAll() []simulation.DayResult {
+func (options *daysOptions) runAll() []simulation.DayResult {
 	results := make([]simulation.DayResult, options.count)
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, options.parallel))
--- a/cmd/micahill-lab/overflow.go
+++ b/cmd/micahill-lab/overflow.go
@@ -30,9 +30,9 @@
 	// Duplicated counts the tasks that ran in two clusters at once.
 	Duplicated int `json:"twice"`
 	Lost       int `json:"lost"`
-	// WentBack counts the jobs that were reported as unknown after their acceptance, or as not
+	// Reverted counts the jobs that were reported as unknown after their acceptance, or as not
 	// done after they were done.
-	WentBack int `json:"went_back"`
+	Reverted int `json:"went_back"`
 	// Forgotten counts jobs that got no answer to a poll for simulation.MaxUnanswered after the
 	// fault.
 	Forgotten int `json:"forgotten"`
@@ -113,7 +113,7 @@
 	acceptedAt, finishedAt time.Time
 	// state is the last state that a poll returned.
 	state    string
-	wentBack bool
+	reverted bool
 	// answeredAt is when a poll was last answered. forgotten is set once polls stayed unanswered
 	// for simulation.MaxUnanswered.
 	answeredAt time.Time
@@ -225,8 +225,8 @@
 			continue
 		}
 		result.Accepted++
-		if job.wentBack {
-			result.WentBack++
+		if job.reverted {
+			result.Reverted++
 		}
 		if job.forgotten {
 			result.Forgotten++
@@ -264,10 +264,10 @@
 	status, state := home.Query(ctx, job.ID)
 	switch {
 	case status == http.StatusNotFound:
-		job.wentBack = true
+		job.reverted = true
 	case status != http.StatusOK:
 	case job.state == "done" && state != "done":
-		job.wentBack = true
+		job.reverted = true
 	case state == "done" && job.finishedAt.IsZero():
 		job.finishedAt = time.Now()
 	}
@@ -338,10 +338,10 @@
 		}
 	} else {
 		fmt.Fprintf(out, "accepted %d  final %d  twice %d  lost %d  went_back %d  forgotten %d  lent %d  in time %.0f %%  p95 %.1f s\n",
-			result.Accepted, result.Finished, result.Duplicated, result.Lost, result.WentBack, result.Forgotten, result.Lent, 100*result.InTime, result.P95)
+			result.Accepted, result.Finished, result.Duplicated, result.Lost, result.Reverted, result.Forgotten, result.Lent, 100*result.InTime, result.P95)
 	}
-	if result.Duplicated+result.Lost+result.WentBack+result.Forgotten > 0 {
-		return fmt.Errorf("overflow: a rule is broken: %d tasks in two clusters, %d jobs without an end, %d jobs with a final state that changed, %d jobs forgotten", result.Duplicated, result.Lost, result.WentBack, result.Forgotten)
+	if result.Duplicated+result.Lost+result.Reverted+result.Forgotten > 0 {
+		return fmt.Errorf("overflow: a rule is broken: %d tasks in two clusters, %d jobs without an end, %d jobs with a final state that changed, %d jobs forgotten", result.Duplicated, result.Lost, result.Reverted, result.Forgotten)
 	}
 	return nil
 }
--- a/cmd/micahill/logs_test.go
+++ b/cmd/micahill/logs_test.go
@@ -23,9 +23,9 @@
 // simulationOnly lists the directories whose log lines no operator sees.
 var simulationOnly = []string{"internal/simulation", "internal/lab", "internal/search", "internal/testgolden", "internal/testseed"}
 
-// passThrough is the package that writes log lines on behalf of the controller. Their messages
+// forwardingPackage is the package that writes log lines on behalf of the controller. Their messages
 // are literals where the controller creates them.
-const passThrough = "internal/server"
+const forwardingPackage = "internal/server"
 
 // TestLogLinesAreDocumented checks that docs/operations/logs.md lists each log line at info and
 // above with its level, and no line that the program does not write. It guards against a page
@@ -106,7 +106,7 @@
 		}
 		literal, ok := call.Args[0].(*ast.BasicLit)
 		if !ok {
-			if !strings.HasSuffix(filepath.ToSlash(filepath.Dir(path)), passThrough) {
+			if !strings.HasSuffix(filepath.ToSlash(filepath.Dir(path)), forwardingPackage) {
 				t.Errorf("%s: the message of a log line is not a literal", files.Position(call.Pos()))
 			}
 			return true
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -31,7 +31,7 @@
 		Dependencies: []string{"job-000398", "job-000402"},
 	}}
 	testgolden.Check(t, testgolden.Msgpack, requests)
-	testgolden.Full(t, requests)
+	testgolden.CheckCoverage(t, requests)
 	want := model.JobSpec{
 		ID: "job-000412", Workload: "train", Team: "vision", Gang: true, Urgency: model.Urgent, Tasks: 16, Need: model.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75},
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a", SameZone: true, SpreadZones: true, AllowSpot: true,
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testgolden.Same(t, "heartbeat", body)
+	testgolden.CheckBytes(t, "heartbeat", body)
 	job := message.UserReply{Status: 200, ID: "job-000412", State: "queued", Done: 5, Running: 6, PromisedAfter: 90_500 * time.Millisecond, PromiseRevision: 2}
 	for name, test := range map[string]struct {
 		method, body string
@@ -94,6 +94,6 @@
 			t.Fatal(err)
 		}
 		got := strconv.Itoa(recorder.Code) + " " + recorder.Header().Get(echo.HeaderRetryAfter) + "\n" + sorted.String()
-		testgolden.Same(t, "response-"+name, []byte(got))
+		testgolden.CheckBytes(t, "response-"+name, []byte(got))
 	}
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -21,5 +21,5 @@
 		"machine-ids":    machineIDs{IDs: []string{"vm-000231", "vm-000232"}},
 	}
 	testgolden.Check(t, testgolden.Msgpack, wire)
-	testgolden.Full(t, wire)
+	testgolden.CheckCoverage(t, wire)
 }
--- a/internal/lab/fleet/client.go
+++ b/internal/lab/fleet/client.go
@@ -75,7 +75,7 @@
 		"vcpus": job.CPUs, "gpus": 0.0, "memory_gb": job.CPUs, "bundle": "img", "image_gb": 0.2, "flavours": nil, "site": nil,
 		"same_place": false, "apart": false, "loaner": true, "expected_s": job.RunTime.Seconds(), "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil,
 	}
-	if job.Standing {
+	if job.LongRunning {
 		body["shape"], body["expected_s"] = "standing", 0.0
 	}
 	if job.Deadline > 0 {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -97,8 +97,8 @@
 	// Deadline is relative to the submission; 0 means none.
 	Deadline time.Duration
 	Urgency  string
-	// Standing means that the tasks run until the job is cancelled.
-	Standing bool
+	// LongRunning means that the tasks run until the job is cancelled.
+	LongRunning bool
 }
 
 // ErrTooLarge means that Options ask for no cluster or controller, or for more than one machine
@@ -203,7 +203,7 @@
 		original = OriginalID(id)
 	}
 	job, ok := fleet.jobs[original]
-	return model.JobSpec{ID: id, Team: job.Team, Tasks: job.Tasks, Need: model.Resources{CPU: job.CPUs, Memory: job.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: job.Standing}, job.RunTime, ok
+	return model.JobSpec{ID: id, Team: job.Team, Tasks: job.Tasks, Need: model.Resources{CPU: job.CPUs, Memory: job.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: job.LongRunning}, job.RunTime, ok
 }
 
 // OriginalID returns the ID that a lent job has in its home cluster.
--- a/internal/lab/scale/failures.go
+++ b/internal/lab/scale/failures.go
@@ -16,7 +16,7 @@
 func (load *workload) measureTakeover(ctx context.Context, measurement *Measurement) error {
 	victim := slices.MaxFunc(measurement.Roles, func(a, b Role) int { return takeoverWeight(a) - takeoverWeight(b) })
 	victimIndex := slices.IndexFunc(measurement.Roles, func(role Role) bool { return role.Host == victim.Host })
-	reply, err := status(ctx, load.cluster.InternalAddrs[victimIndex])
+	reply, err := fetchStatus(ctx, load.cluster.InternalAddrs[victimIndex])
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 		if i == except {
 			continue
 		}
-		if reply, err := status(ctx, addr); err == nil && slices.Contains(localTeams(reply), team) {
+		if reply, err := fetchStatus(ctx, addr); err == nil && slices.Contains(localTeams(reply), team) {
 			return true
 		}
 	}
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -52,8 +52,8 @@
 	// filesPerWorker is the number of open files for a worker: a listener, the connection of its
 	// heartbeats and that of its commands.
 	filesPerWorker = 3
-	// spareFiles is the number of open files for all other purposes.
-	spareFiles = 300
+	// reservedFiles is the number of open files for all other purposes.
+	reservedFiles = 300
 	// mbPerWorker is the memory of a simulated worker in this process, and mbPerController that of a
 	// controller without workers, in MB.
 	mbPerWorker     = 0.2
@@ -103,8 +103,8 @@
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &files); err != nil {
 		return planError("read the limit of open files: %v", err)
 	}
-	if need := uint64(plan.Workers*filesPerWorker + spareFiles); need > files.Cur {
-		return planError("--workers %d: needs %d open files, the limit is %d; want at most %d workers", plan.Workers, need, files.Cur, (int(files.Cur)-spareFiles)/filesPerWorker)
+	if need := uint64(plan.Workers*filesPerWorker + reservedFiles); need > files.Cur {
+		return planError("--workers %d: needs %d open files, the limit is %d; want at most %d workers", plan.Workers, need, files.Cur, (int(files.Cur)-reservedFiles)/filesPerWorker)
 	}
 	available, err := availableMemoryMB()
 	if err != nil {
--- a/internal/lab/scale/rankingchange.go
+++ b/internal/lab/scale/rankingchange.go
@@ -20,8 +20,8 @@
 	// maxChangeWait is how long a change may take to reach all controllers.
 	maxChangeWait      = 20 * time.Second
 	changePollInterval = 20 * time.Millisecond
-	// rankingFile is the file that enables the ranking.
-	rankingFile = "[ranking]\nenabled = true\n"
+	// rankingEnableText is the file that enables the ranking.
+	rankingEnableText = "[ranking]\nenabled = true\n"
 )
 
 // rankingTexts are the rankings that are set in turn. They rank the workloads differently.
@@ -37,7 +37,7 @@
 		return plan.EnableFiles, nil
 	}
 	name := filepath.Join(plan.Dir, "ranking.toml")
-	if err := os.WriteFile(name, []byte(rankingFile), 0o600); err != nil {
+	if err := os.WriteFile(name, []byte(rankingEnableText), 0o600); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	return append(slices.Clone(plan.EnableFiles), name), nil
--- a/internal/lab/scale/snapshot.go
+++ b/internal/lab/scale/snapshot.go
@@ -123,7 +123,7 @@
 func (load *workload) setRoles(ctx context.Context, measurement *Measurement, before, after snapshot) error {
 	seconds := after.at.Sub(before.at).Seconds()
 	for i, stats := range after.procs {
-		reply, err := status(ctx, load.cluster.InternalAddrs[i])
+		reply, err := fetchStatus(ctx, load.cluster.InternalAddrs[i])
 		if err != nil {
 			return err
 		}
@@ -153,8 +153,8 @@
 	return out
 }
 
-// status requests the status of the controller at an internal address.
-func status(ctx context.Context, addr string) (*message.StatusReply, error) {
+// fetchStatus requests the status of the controller at an internal address.
+func fetchStatus(ctx context.Context, addr string) (*message.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/status", nil)
--- a/internal/lab/scale/workload.go
+++ b/internal/lab/scale/workload.go
@@ -88,7 +88,7 @@
 		if i < load.plan.Workers%load.plan.Teams {
 			n++
 		}
-		load.submit(ctx, i, load.newJob(fleet.Job{Workload: "standing", Tasks: n, CPUs: serviceTaskCPUs, Urgency: "normal", Standing: true}))
+		load.submit(ctx, i, load.newJob(fleet.Job{Workload: "standing", Tasks: n, CPUs: serviceTaskCPUs, Urgency: "normal", LongRunning: true}))
 	}
 	for lastLogged := began; ; sleep(ctx, pollInterval) {
 		up, tasks, standing := load.cluster.Live.Workers()
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -26,12 +26,12 @@
 		},
 		Strict: true,
 	}, records)
-	testgolden.Full(t, records)
+	testgolden.CheckCoverage(t, records)
 
 	tracker := NewTracker(time.Hour)
 	if err := tracker.Recover(time.UnixMilli(1_750_000_000_000), "team", testgolden.Bytes(t, "moves")); err != nil {
 		t.Fatal(err)
 	}
 	value, _ := tracker.EncodeRecord("team")
-	testgolden.Still(t, "moves", value)
+	testgolden.CheckUnchanged(t, "moves", value)
 }
--- a/internal/overflow/link/golden_test.go
+++ b/internal/overflow/link/golden_test.go
@@ -126,7 +126,7 @@
 			sent = append(sent, message)
 		}
 	}
-	testgolden.FullProto(t, File_internal_overflow_link_link_proto, sent...)
+	testgolden.CheckProtoCoverage(t, File_internal_overflow_link_link_proto, sent...)
 	// Both ends derive the MAC key from the TLS session with this label.
 	if exporterLabel != "EXPORTER-micahill-overflow-1" || Version != 1 {
 		t.Errorf("got version %d with keys from %q, want 1, %q", Version, exporterLabel, "EXPORTER-micahill-overflow-1")
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -83,8 +83,8 @@
 			return err
 		},
 	}, updates)
-	testgolden.Full(t, updates)
-	testgolden.FullProto(t, File_internal_peer_peer_proto, encodeUpdate(goldenUpdate))
+	testgolden.CheckCoverage(t, updates)
+	testgolden.CheckProtoCoverage(t, File_internal_peer_peer_proto, encodeUpdate(goldenUpdate))
 	if peerHandshakeByte != 0 {
 		t.Errorf("first byte of a connection: got %d, want 0", peerHandshakeByte)
 	}
--- a/internal/promise/golden_test.go
+++ b/internal/promise/golden_test.go
@@ -31,7 +31,7 @@
 		Write: func(v any) ([]byte, error) { return encode(v), nil },
 		Read:  func(b []byte, into any) error { return decode(b, into) },
 	}, records)
-	testgolden.Full(t, records)
+	testgolden.CheckCoverage(t, records)
 }
 
 // TestGoldenUse guards against loss of data when a record is decoded: a decoded record is
@@ -41,15 +41,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testgolden.Still(t, "page", encodePage(entries))
+	testgolden.CheckUnchanged(t, "page", encodePage(entries))
 	team, quoter, err := DecodeQuoter(testgolden.Bytes(t, "quotes"), 0.95)
 	if err != nil {
 		t.Fatal(err)
 	}
-	testgolden.Still(t, "quotes", quoter.Encode(team, 4096))
+	testgolden.CheckUnchanged(t, "quotes", quoter.Encode(team, 4096))
 	totals, err := DecodeTotals(testgolden.Bytes(t, "totals"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	testgolden.Still(t, "totals", totals.Encode(4096))
+	testgolden.CheckUnchanged(t, "totals", totals.Encode(4096))
 }
--- a/internal/ranking/golden_test.go
+++ b/internal/ranking/golden_test.go
@@ -15,7 +15,7 @@
 		{Name: "rest", Urgency: "normal"},
 	}}}
 	testgolden.Check(t, testgolden.Msgpack, stored)
-	testgolden.Full(t, stored)
+	testgolden.CheckCoverage(t, stored)
 
 	records := testgolden.Values{"ranking": Record{Revision: 13, SetBy: "ada", SetAt: time.UnixMilli(1_750_000_001_234), Derived: true, Classes: []Class{
 		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", WaitBound: 90_500 * time.Millisecond, ReservedFraction: 0.25},
@@ -30,7 +30,7 @@
 		Strict: true,
 	}, records)
 	records["wire"] = stored["wire"]
-	testgolden.Full(t, records)
+	testgolden.CheckCoverage(t, records)
 	if rev := Revision(testgolden.Bytes(t, "ranking")); rev != 13 {
 		t.Errorf("got revision %d, want 13", rev)
 	}
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -52,7 +52,7 @@
 			return DecodeRecord("golden", b, into)
 		},
 	}, goldenRecords)
-	testgolden.Full(t, goldenRecords)
+	testgolden.CheckCoverage(t, goldenRecords)
 }
 
 // TestGoldenJobSpec guards against a field of a job's specification that is lost between an open/
@@ -65,12 +65,12 @@
 	spec := record.JobSpec("job-000412")
 	all := maps.Clone(goldenRecords)
 	all["spec"] = spec
-	testgolden.Full(t, all)
+	testgolden.CheckCoverage(t, all)
 	again := NewOpenJob(&spec, time.UnixMilli(record.SubmittedAtMillis))
 	again.Cancelled, again.CancelledAtMillis = record.Cancelled, record.CancelledAtMillis
 	again.LentTo, again.LendCount, again.StopBoundMillis, again.CancelRequested = record.LentTo, record.LendCount, record.StopBoundMillis, record.CancelRequested
 	again.BorrowedLoan, again.PromisedMillis = record.BorrowedLoan, record.PromisedMillis
-	testgolden.Still(t, "open", Encode(again))
+	testgolden.CheckUnchanged(t, "open", Encode(again))
 }
 
 // TestGoldenNames guards against a change of the keys in the state service, and of the names and
--- a/internal/sharding/golden_test.go
+++ b/internal/sharding/golden_test.go
@@ -20,7 +20,7 @@
 		Write: func(v any) ([]byte, error) { return encode(v), nil },
 		Read:  func(b []byte, into any) error { return decode(b, into) },
 	}, records)
-	testgolden.Full(t, records)
+	testgolden.CheckCoverage(t, records)
 }
 
 // TestGoldenSegment checks that the machines of a stored segment are read, and that they are
@@ -30,5 +30,5 @@
 	if err != nil || shard != "ctl-2.1" || len(groups) != 2 || len(groups[0].names) != 10 || groups[0].names[3] != "vm-070008" {
 		t.Fatalf("decodeSegment: got shard %q, groups %v, error %v; want shard ctl-2.1 with groups of 10 and 2 machines", shard, groups, err)
 	}
-	testgolden.Still(t, "lot", encodeSegment(shard, groups))
+	testgolden.CheckUnchanged(t, "lot", encodeSegment(shard, groups))
 }
--- a/internal/simulation/cancel_outage_test.go
+++ b/internal/simulation/cancel_outage_test.go
@@ -21,10 +21,10 @@
 	loss string
 	// peersConnected says whether the other controllers can still reach the shard leader.
 	peersConnected bool
-	// refusedFor is the time from the shard leader's loss of the state service to the outage for all
+	// leaderIsolatedFor is the time from the shard leader's loss of the state service to the outage for all
 	// controllers. The shard leader's lease lasts 3 to 4 s after its loss, so the values cover an outage
 	// that begins before, during and after the takeover by a successor.
-	refusedFor time.Duration
+	leaderIsolatedFor time.Duration
 	// outageFactor is the length of the outage as a multiple of cancelWithin.
 	outageFactor float64
 	// crash names the controllers that crash during the outage: "none", "owner" (the shard leader),
@@ -35,12 +35,12 @@
 
 func (outage cancelOutage) String() string {
 	return fmt.Sprintf("lease=%v cancel_within=%v controllers=%d teams=%d loss=%s peers_connected=%v refused_for=%v outage_factor=%g crash=%s restart_after=%v",
-		outage.lease, outage.cancelWithin, outage.controllers, outage.teams, outage.loss, outage.peersConnected, outage.refusedFor, outage.outageFactor, outage.crash, outage.restartAfter)
+		outage.lease, outage.cancelWithin, outage.controllers, outage.teams, outage.loss, outage.peersConnected, outage.leaderIsolatedFor, outage.outageFactor, outage.crash, outage.restartAfter)
 }
 
-// minLeaseLeft is the least remaining time of the shard leader's lease when the shard leader loses the state
+// minRemainingLease is the least remaining time of the shard leader's lease when the shard leader loses the state
 // service. It renewed the lease at most a second before.
-const minLeaseLeft = 3 * time.Second
+const minRemainingLease = 3 * time.Second
 
 // run plays the day. It returns the violations, and whether the day covered its case: a job of the isolated
 // shard leader was confirmed as cancelled before the outage, and its tasks still ran if neither the shard
@@ -68,26 +68,26 @@
 	shardLeader := world.controllers[leaderIndex]
 	switch outage.loss {
 	case "refused":
-		world.refuseController(shardLeader, outage.refusedFor+2*time.Second)
+		world.refuseController(shardLeader, outage.leaderIsolatedFor+2*time.Second)
 	default:
-		world.Partition(shardLeader.name, "state", outage.refusedFor+2*time.Second, outage.loss == "held")
+		world.Partition(shardLeader.name, "state", outage.leaderIsolatedFor+2*time.Second, outage.loss == "held")
 	}
 	if !outage.peersConnected {
 		for _, process := range world.controllers {
 			if process != shardLeader {
-				world.Partition(shardLeader.name, process.name, outage.refusedFor+time.Duration(outage.outageFactor*float64(outage.cancelWithin)), false)
+				world.Partition(shardLeader.name, process.name, outage.leaderIsolatedFor+time.Duration(outage.outageFactor*float64(outage.cancelWithin)), false)
 			}
 		}
 	}
 	for i, id := range ids {
-		world.schedule(time.Duration(i)*outage.refusedFor/time.Duration(len(ids)), func() { world.Cancel(id) })
+		world.schedule(time.Duration(i)*outage.leaderIsolatedFor/time.Duration(len(ids)), func() { world.Cancel(id) })
 	}
-	world.Run(outage.refusedFor)
+	world.Run(outage.leaderIsolatedFor)
 	for i, id := range ids {
 		// If the shard leader is partitioned from its peers and the outage begins before its lease ends, no
 		// controller can have stopped the job. In all other cases, the shard leader or a successor may have
 		// stopped it already.
-		unknown := !outage.peersConnected && outage.refusedFor < minLeaseLeft
+		unknown := !outage.peersConnected && outage.leaderIsolatedFor < minRemainingLease
 		covered = covered || i%outage.teams == 0 && world.jobs[id].lastState == "cancelled" && (!unknown || world.runningTasks(id) > 0)
 	}
 	world.Outage(time.Duration(outage.outageFactor * float64(outage.cancelWithin)))
@@ -119,7 +119,7 @@
 					for _, factor := range []float64{1, 1.2, 3} {
 						for _, crash := range []string{"none", "owner", "confirmers", "both"} {
 							for _, size := range [][2]int{{3, 1}, {5, 4}} {
-								outage := cancelOutage{lease: ratio[0], cancelWithin: ratio[1], loss: loss, peersConnected: connected, refusedFor: isolation, outageFactor: factor, crash: crash, controllers: size[0], teams: size[1], restartAfter: 50 * time.Millisecond}
+								outage := cancelOutage{lease: ratio[0], cancelWithin: ratio[1], loss: loss, peersConnected: connected, leaderIsolatedFor: isolation, outageFactor: factor, crash: crash, controllers: size[0], teams: size[1], restartAfter: 50 * time.Millisecond}
 								if len(outages)%3 == 0 {
 									outage.restartAfter = 5 * time.Second
 								}
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -46,7 +46,7 @@
 // checkPollsAnswered checks that a job's queries are not unanswered for longer than MaxUnanswered
 // once all faults are over. It reports a job at most once.
 func (world *World) checkPollsAnswered(job *userJob) {
-	if world.faultsEndAt.IsZero() || !job.accepted || job.silenceReported {
+	if world.faultsEndAt.IsZero() || !job.accepted || job.unansweredReported {
 		return
 	}
 	since := world.faultsEndAt
@@ -56,8 +56,8 @@
 	duration := world.now.Sub(since)
 	world.recordMargin(RuleForgotten, MaxUnanswered-duration, job.spec.ID)
 	if duration > MaxUnanswered {
-		job.silenceReported = true
-		world.violate("forgotten", "%s, %q: no answer for %.0f s", job.spec.ID, job.lastState, duration.Seconds())
+		job.unansweredReported = true
+		world.reportViolation("forgotten", "%s, %q: no answer for %.0f s", job.spec.ID, job.lastState, duration.Seconds())
 	}
 }
 
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -83,7 +83,7 @@
 // rental.
 func (world *World) rentMachines(req message.CloudRequest) ([]string, message.CloudStatus) {
 	if req.Count < 1 || req.Count > maxRentCount || req.IdempotencyKey == "" {
-		world.violate("malformed", "a booking of %d machines", req.Count)
+		world.reportViolation("malformed", "a booking of %d machines", req.Count)
 		return nil, message.CloudMalformed
 	}
 	if rented, ok := world.rentals[req.IdempotencyKey]; ok {
@@ -122,7 +122,7 @@
 // released machines.
 func (world *World) releaseMachines(ids []string) message.CloudStatus {
 	if len(ids) > maxReleaseCount {
-		world.violate("malformed", "a return of %d machines", len(ids))
+		world.reportViolation("malformed", "a return of %d machines", len(ids))
 		return message.CloudMalformed
 	}
 	for _, id := range ids {
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -19,10 +19,10 @@
 type jobFate string
 
 const (
-	unknown   jobFate = ""
-	accepted  jobFate = "accepted"
-	done      jobFate = "done"
-	cancelled jobFate = "cancelled"
+	fateUnknown   jobFate = ""
+	fateAccepted  jobFate = "accepted"
+	fateDone      jobFate = "done"
+	fateCancelled jobFate = "cancelled"
 )
 
 // operationKind is the kind of an operation on a job's register. Users send all kinds except opEnd, which
@@ -53,27 +53,27 @@
 // temporary refusal never returns in the history, so the model may also place it after all other operations,
 // where no answer shows its effect.
 var jobModel = porcupine.Model{
-	Init: func() any { return unknown },
+	Init: func() any { return fateUnknown },
 	Step: func(state, input, output any) (bool, any) {
 		previous, operation, answer := state.(jobFate), input.(jobOperation), output.(jobAnswer)
 		next := previous
 		switch {
-		case operation.kind == opSubmit && previous == unknown:
-			next = accepted
-		case operation.kind == opCancel && previous == accepted:
-			next = cancelled
+		case operation.kind == opSubmit && previous == fateUnknown:
+			next = fateAccepted
+		case operation.kind == opCancel && previous == fateAccepted:
+			next = fateCancelled
 		case operation.kind == opEnd:
-			return previous == accepted, done
+			return previous == fateAccepted, fateDone
 		}
 		switch {
 		case answer.status == 0:
 			return true, next
 		case answer.status == 404:
-			return operation.kind != opSubmit && previous == unknown, previous
+			return operation.kind != opSubmit && previous == fateUnknown, previous
 		case answer.status == 201:
-			return operation.kind == opSubmit && previous == unknown && answer.fate == accepted, next
+			return operation.kind == opSubmit && previous == fateUnknown && answer.fate == fateAccepted, next
 		}
-		return answer.status == 200 && answer.fate == next && previous != unknown, next
+		return answer.status == 200 && answer.fate == next && previous != fateUnknown, next
 	},
 }
 
@@ -86,9 +86,9 @@
 	// users were told.
 	history    map[string][]porcupine.Operation
 	newestFate map[string]jobFate
-	// cancels has, for each job that its user cancels, the fate that makes the user send the
+	// cancelOn has, for each job that its user cancels, the fate that makes the user send the
 	// cancellation.
-	cancels    map[string]jobFate
+	cancelOn   map[string]jobFate
 	violations []string
 	// sentFate has the newest fate that each incarnation of a controller has answered about each job.
 	sentFate map[string]jobFate
@@ -105,7 +105,7 @@
 // newConcurrentReaders returns readers that see each change in the world's state service. No response of the
 // state service is lost until the readers' fraction of lost responses is set.
 func newConcurrentReaders(world *World, seed uint64) *concurrentReaders {
-	readers := &concurrentReaders{world: world, rng: rand.New(rand.NewPCG(seed, 37)), history: map[string][]porcupine.Operation{}, newestFate: map[string]jobFate{}, cancels: map[string]jobFate{}, sentFate: map[string]jobFate{},
+	readers := &concurrentReaders{world: world, rng: rand.New(rand.NewPCG(seed, 37)), history: map[string][]porcupine.Operation{}, newestFate: map[string]jobFate{}, cancelOn: map[string]jobFate{}, sentFate: map[string]jobFate{},
 		bursts: map[jobFate]int{}, unansweredCount: map[operationKind]int{}}
 	world.state.onChange = readers.onChange
 	readers.lostResponses = loseResponses(world, seed, 0)
@@ -122,11 +122,11 @@
 	if !isJob || change.Deleted || msgpack.Unmarshal(change.Value, &rec) != nil {
 		return
 	}
-	if now := readers.now(); rec.Status == done {
+	if now := readers.now(); rec.Status == fateDone {
 		readers.add(porcupine.Operation{Input: jobOperation{id, opEnd}, Call: now, Output: jobAnswer{}, Return: now + 1})
 	}
 	// Users may happen to query at the moment of the change.
-	readers.burst(id, rec.Status)
+	readers.startBurst(id, rec.Status)
 }
 
 // now returns the simulated time since the start of the world in nanoseconds.
@@ -160,12 +160,12 @@
 		}
 		finished = true
 		if !isDefinite(reply) {
-			readers.unanswered(jobOperation{id, kind}, sentAt, reply)
+			readers.recordUnanswered(jobOperation{id, kind}, sentAt, reply)
 			return
 		}
 		answer := jobAnswer{reply.Status, fateOf(reply)}
 		readers.add(porcupine.Operation{Input: jobOperation{id, kind}, Call: sentAt, Output: answer, Return: readers.now()})
-		readers.noteFate(id, answer.fate)
+		readers.recordFate(id, answer.fate)
 	}
 	world.schedule(timeout, func() { finish(message.UserReply{}) })
 	process := world.controllers[controller]
@@ -185,7 +185,7 @@
 // fateOf returns the fate that a definite reply states.
 func fateOf(reply message.UserReply) jobFate {
 	if reply.State == "queued" || reply.State == "running" {
-		return accepted
+		return fateAccepted
 	}
 	return jobFate(reply.State)
 }
@@ -196,7 +196,7 @@
 	if !isDefinite(reply) {
 		return
 	}
-	order := map[jobFate]int{accepted: 1, done: 2, cancelled: 2}
+	order := map[jobFate]int{fateAccepted: 1, fateDone: 2, fateCancelled: 2}
 	key := fmt.Sprintf("%s %s.%d", id, process.name, process.incarnation)
 	previous, fate := readers.sentFate[key], fateOf(reply)
 	if order[fate] < order[previous] {
@@ -205,10 +205,10 @@
 	readers.sentFate[key] = fate
 }
 
-// unanswered records a request without a definite reply, which may still take effect later, and retries a
+// recordUnanswered records a request without a definite reply, which may still take effect later, and retries a
 // submission or cancellation. If an earlier request of the same kind is unanswered too, or was answered before
 // this request was sent, this request adds nothing to the history.
-func (readers *concurrentReaders) unanswered(operation jobOperation, sentAt int64, reply message.UserReply) {
+func (readers *concurrentReaders) recordUnanswered(operation jobOperation, sentAt int64, reply message.UserReply) {
 	readers.unansweredCount[operation.kind]++
 	if reply.Status != 0 && reply.Status != 503 {
 		readers.violations = append(readers.violations, fmt.Sprintf("%s of %s: got status %d, message %q", operation.kind, operation.job, reply.Status, reply.Message))
@@ -217,7 +217,7 @@
 		return
 	}
 	for _, earlier := range readers.history[operation.job] {
-		if input, answer := earlier.Input.(jobOperation), earlier.Output.(jobAnswer); input.kind == operation.kind && (earlier.Call < sentAt && (earlier.Return == math.MaxInt64 || earlier.Return < sentAt && answer.fate != unknown)) {
+		if input, answer := earlier.Input.(jobOperation), earlier.Output.(jobAnswer); input.kind == operation.kind && (earlier.Call < sentAt && (earlier.Return == math.MaxInt64 || earlier.Return < sentAt && answer.fate != fateUnknown)) {
 			readers.retryUntilAnswered(operation)
 			return
 		}
@@ -229,25 +229,25 @@
 // retryUntilAnswered repeats an unanswered request until the users know its effect.
 func (readers *concurrentReaders) retryUntilAnswered(operation jobOperation) {
 	readers.world.schedule(readers.world.jitter(time.Second), func() {
-		if fate := readers.newestFate[operation.job]; operation.kind == opSubmit && fate == unknown || operation.kind == opCancel && fate == accepted {
+		if fate := readers.newestFate[operation.job]; operation.kind == opSubmit && fate == fateUnknown || operation.kind == opCancel && fate == fateAccepted {
 			readers.send(readers.rng.IntN(len(readers.world.controllers)), operation.kind, operation.job)
 		}
 	})
 }
 
-// noteFate records the newest fate that users were told, and starts a burst if the fate is new. A final fate
+// recordFate records the newest fate that users were told, and starts a burst if the fate is new. A final fate
 // stays.
-func (readers *concurrentReaders) noteFate(id string, fate jobFate) {
-	if fate == unknown || fate == readers.newestFate[id] || readers.newestFate[id] == done || readers.newestFate[id] == cancelled {
+func (readers *concurrentReaders) recordFate(id string, fate jobFate) {
+	if fate == fateUnknown || fate == readers.newestFate[id] || readers.newestFate[id] == fateDone || readers.newestFate[id] == fateCancelled {
 		return
 	}
 	readers.newestFate[id], readers.world.jobs[id].accepted = fate, true
-	readers.burst(id, fate)
+	readers.startBurst(id, fate)
 }
 
-// burst queries all controllers and resubmits the job within milliseconds. It also sends the cancellation of
+// startBurst queries all controllers and resubmits the job within milliseconds. It also sends the cancellation of
 // the job if the user cancels the job at this fate.
-func (readers *concurrentReaders) burst(id string, fate jobFate) {
+func (readers *concurrentReaders) startBurst(id string, fate jobFate) {
 	readers.bursts[fate]++
 	for _, delay := range readDelays {
 		for controller := range readers.world.controllers {
@@ -258,7 +258,7 @@
 			readers.world.schedule(delay*time.Millisecond, func() { readers.send(controller, kind, id) })
 		}
 	}
-	if readers.cancels[id] == fate {
+	if readers.cancelOn[id] == fate {
 		readers.world.schedule(time.Duration(readers.rng.IntN(4))*time.Millisecond, func() { readers.send(readers.rng.IntN(len(readers.world.controllers)), opCancel, id) })
 	}
 }
@@ -271,22 +271,22 @@
 	readers.world.jobs[id] = newUserJob(spec, run)
 	readers.world.schedule(at, func() {
 		readers.world.jobs[id].submitted = readers.world.now
-		if cancelOn != unknown {
-			readers.cancels[id] = cancelOn
+		if cancelOn != fateUnknown {
+			readers.cancelOn[id] = cancelOn
 		}
-		readers.burst(id, unknown)
+		readers.startBurst(id, fateUnknown)
 		readers.send(readers.rng.IntN(len(readers.world.controllers)), opSubmit, id)
-		readers.readEverywhere(id)
+		readers.pollUntilFinal(id)
 	})
 }
 
-// readEverywhere polls a random controller about once a second until the job has ended.
-func (readers *concurrentReaders) readEverywhere(id string) {
-	if fate := readers.newestFate[id]; fate == done || fate == cancelled {
+// pollUntilFinal polls a random controller about once a second until the job has ended.
+func (readers *concurrentReaders) pollUntilFinal(id string) {
+	if fate := readers.newestFate[id]; fate == fateDone || fate == fateCancelled {
 		return
 	}
 	readers.send(readers.rng.IntN(len(readers.world.controllers)), opPoll, id)
-	readers.world.schedule(readers.world.jitter(time.Second), func() { readers.readEverywhere(id) })
+	readers.world.schedule(readers.world.jitter(time.Second), func() { readers.pollUntilFinal(id) })
 }
 
 // startRandomFault starts one short fault.
@@ -319,7 +319,7 @@
 func (readers *concurrentReaders) run(faults bool) {
 	const jobCount, interval = 24, 4 * time.Second
 	for i := range jobCount {
-		cancelOn := []jobFate{unknown, accepted, unknown, done, unknown, cancelled}[i%6]
+		cancelOn := []jobFate{fateUnknown, fateAccepted, fateUnknown, fateDone, fateUnknown, fateCancelled}[i%6]
 		readers.addJob(30*time.Second+time.Duration(i)*interval, fmt.Sprintf("job-%06d", i), time.Duration(2+readers.rng.IntN(12))*time.Second, 1+i%3, cancelOn)
 	}
 	if faults {
@@ -337,7 +337,7 @@
 func dropImpliedReads(history []porcupine.Operation) []porcupine.Operation {
 	readAnswer := func(operation porcupine.Operation) (jobAnswer, bool) {
 		answer, kind := operation.Output.(jobAnswer), operation.Input.(jobOperation).kind
-		return answer, answer.status == 404 || answer.status == 200 && (kind != opCancel || answer.fate == done)
+		return answer, answer.status == 404 || answer.status == 200 && (kind != opCancel || answer.fate == fateDone)
 	}
 	var out []porcupine.Operation
 	for i, operation := range history {
@@ -398,11 +398,11 @@
 			answers := 0
 			for _, id := range sortedKeys(world.jobs) {
 				answers += len(readers.history[id])
-				if fate := readers.newestFate[id]; fate != done && fate != cancelled {
+				if fate := readers.newestFate[id]; fate != fateDone && fate != fateCancelled {
 					t.Errorf("%s: got final state %q, want done or cancelled", id, fate)
 				}
 			}
-			for _, fate := range []jobFate{accepted, done, cancelled} {
+			for _, fate := range []jobFate{fateAccepted, fateDone, fateCancelled} {
 				if readers.bursts[fate] < 6 {
 					t.Errorf("got %d bursts after %s, want at least 6", readers.bursts[fate], fate)
 				}
--- a/internal/simulation/controller_process.go
+++ b/internal/simulation/controller_process.go
@@ -69,7 +69,7 @@
 		return
 	}
 	if leader := process.world.leaderName(); leader != "" && leader != process.name {
-		process.world.violate("deposed", "%s asks the cloud for %v while %s leads", process.name, request.Kind, leader)
+		process.world.reportViolation("deposed", "%s asks the cloud for %v while %s leads", process.name, request.Kind, leader)
 	}
 }
 
@@ -216,7 +216,7 @@
 				continue
 			}
 		}
-		if process.world.crashesOn(process, effect) {
+		if process.world.crashIfMatched(process, effect) {
 			return
 		}
 		if process.world.pauseCondition != nil && process.world.pauseCondition(process, effect) {
--- a/internal/simulation/dependency_checks.go
+++ b/internal/simulation/dependency_checks.go
@@ -82,9 +82,9 @@
 func (world *World) checkDependencies(job *userJob, name string) {
 	for _, dependency := range job.dependencies {
 		if dependency.tasksDoneAt.IsZero() {
-			world.violate("too_early", "%s starts before %s is done: %d of %d", name, dependency.spec.ID, len(dependency.doneTasks), dependency.spec.Tasks)
+			world.reportViolation("too_early", "%s starts before %s is done: %d of %d", name, dependency.spec.ID, len(dependency.doneTasks), dependency.spec.Tasks)
 		} else if !world.state.isJobDone(dependency.spec.ID) {
-			world.violate("too_early", "%s starts before the end of %s is stored", name, dependency.spec.ID)
+			world.reportViolation("too_early", "%s starts before the end of %s is stored", name, dependency.spec.ID)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 func (world *World) checkDependents(job *userJob) {
 	for _, dependent := range job.dependents {
 		if len(dependent.firstStarts) > 0 {
-			world.violate("too_early", "%s has begun, and %s is cancelled", dependent.spec.ID, job.spec.ID)
+			world.reportViolation("too_early", "%s has begun, and %s is cancelled", dependent.spec.ID, job.spec.ID)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 	world.recordMargin(RuleOrphaned, left, job.spec.ID)
 	if left < 0 && !job.orphanReported {
 		job.orphanReported = true
-		world.violate(RuleOrphaned, "%s is called %s %.1f s after one before it was cancelled", job.spec.ID, reply.State, world.now.Sub(since).Seconds())
+		world.reportViolation(RuleOrphaned, "%s is called %s %.1f s after one before it was cancelled", job.spec.ID, reply.State, world.now.Sub(since).Seconds())
 	}
 }
 
@@ -142,9 +142,9 @@
 		}
 		switch {
 		case job.lastState == "cancelled" && !job.cancelRequested && cancelledDependency == "":
-			world.violate("crossed", "%s is cancelled, and none that it needs", id)
+			world.reportViolation("crossed", "%s is cancelled, and none that it needs", id)
 		case job.lastState == "done" && cancelledDependency != "":
-			world.violate("crossed", "%s is done, and %s that it needs is cancelled", id, cancelledDependency)
+			world.reportViolation("crossed", "%s is done, and %s that it needs is cancelled", id, cancelledDependency)
 		}
 	}
 }
--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -121,7 +121,7 @@
 	case "cancel_at_end":
 		world.cancelAtEndRate, world.cancelAtEndUntil = fault.Fraction, until
 	case "machine_mute":
-		world.MakeUnheard(world.SampleMachineIDs(fault.Fraction, fault.Zone, rng), fault.Duration)
+		world.MuteMachines(world.SampleMachineIDs(fault.Fraction, fault.Zone, rng), fault.Duration)
 	case "odd_requests":
 		world.SendInvalidRequests(fault.Duration)
 	case "close_looks":
@@ -188,12 +188,12 @@
 	world.Cancel(job.spec.ID)
 }
 
-// MakeUnheard keeps the heartbeats of machines from reaching any controller for the given duration.
+// MuteMachines keeps the heartbeats of machines from reaching any controller for the given duration.
 // Direct requests still reach the machines and are answered.
-func (world *World) MakeUnheard(ids []string, duration time.Duration) {
+func (world *World) MuteMachines(ids []string, duration time.Duration) {
 	for _, id := range ids {
 		if machine := world.machines[id]; machine != nil {
-			machine.unheardUntil = world.now.Add(duration)
+			machine.mutedUntil = world.now.Add(duration)
 		}
 	}
 }
@@ -311,10 +311,10 @@
 		switch {
 		case reply == nil:
 		case reply.Status == http.StatusNotFound || reply.Status == http.StatusBadRequest || reply.Status == http.StatusUnprocessableEntity:
-			world.violate("forgotten", "%s answered %d by %s", id, reply.Status, world.controllers[to].name)
+			world.reportViolation("forgotten", "%s answered %d by %s", id, reply.Status, world.controllers[to].name)
 		case reply.Status != http.StatusOK && reply.Status != http.StatusCreated:
 		case isFinal(lastState) && reply.State != lastState:
-			world.violate("went_back", "%s was %s, is called %s by %s", id, lastState, reply.State, world.controllers[to].name)
+			world.reportViolation("went_back", "%s was %s, is called %s by %s", id, lastState, reply.State, world.controllers[to].name)
 		case isFinal(reply.State) && !isFinal(job.lastState):
 			world.checkAnswer(job, requestedAt, reply)
 		}
@@ -379,7 +379,7 @@
 	}
 	world.userRequest(func(reply uint64) message.Command { request.Reply = reply; return request }, 5*time.Second, func(reply *message.UserReply) {
 		if reply != nil && (reply.Status == http.StatusOK || reply.Status == http.StatusCreated) {
-			world.violate("accepted_odd", "%s answered %d", spec.ID, reply.Status)
+			world.reportViolation("accepted_odd", "%s answered %d", spec.ID, reply.Status)
 		}
 	})
 }
--- a/internal/simulation/extra_faults_test.go
+++ b/internal/simulation/extra_faults_test.go
@@ -95,7 +95,7 @@
 func TestUnheardMachines(t *testing.T) {
 	world := newBusyWorld(t)
 	machine, task := busyMachine(world)
-	world.MakeUnheard([]string{machine.ID}, time.Hour)
+	world.MuteMachines([]string{machine.ID}, time.Hour)
 	// Wait until a heartbeat that is in flight is answered.
 	world.Run(5 * time.Second)
 	before := machine.leaseStart
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -137,8 +137,8 @@
 	return fault.At
 }
 
-// forSample calls fn with each machine that is up, with probability fraction.
-func (world *World) forSample(fraction float64, rng *rand.Rand, fn func(*Worker)) {
+// forEachSampled calls fn with each machine that is up, with probability fraction.
+func (world *World) forEachSampled(fraction float64, rng *rand.Rand, fn func(*Worker)) {
 	for _, machine := range slices.Clone(world.fleet) {
 		if machine.up(world.now) && rng.Float64() < fraction {
 			fn(machine)
@@ -155,7 +155,7 @@
 		return
 	}
 	target := world.controllers[fault.Controller%len(world.controllers)]
-	forSome := func(fn func(*Worker)) { world.forSample(fault.Fraction, rng, fn) }
+	forSome := func(fn func(*Worker)) { world.forEachSampled(fault.Fraction, rng, fn) }
 	switch fault.Kind {
 	case "crash":
 		world.CrashController(target.index, 5*time.Second)
--- a/internal/simulation/held_command_test.go
+++ b/internal/simulation/held_command_test.go
@@ -31,7 +31,7 @@
 			return effect
 		}
 		if held != nil {
-			held.countOthers(world, request)
+			held.countRestarts(world, request)
 			return effect
 		}
 		command := &heldCommand{machine: request.Machine}
@@ -57,9 +57,9 @@
 	}
 }
 
-// countOthers adds to restarted the starts in a request of other attempts of the held tasks, as long as the
+// countRestarts adds to restarted the starts in a request of other attempts of the held tasks, as long as the
 // command is held.
-func (held *heldCommand) countOthers(world *World, request message.WorkerRequest) {
+func (held *heldCommand) countRestarts(world *World, request message.WorkerRequest) {
 	if !world.now.Before(world.machines[held.machine].unreachableUntil) {
 		return
 	}
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -95,10 +95,10 @@
 	}
 }
 
-// TestLargePool plays faults in a large cluster: many machines die or hang at once, all controllers crash, and
+// TestLargeCluster plays faults in a large cluster: many machines die or hang at once, all controllers crash, and
 // the shard leader loses the state service. It guards against violations, against more writes than the limit of
 // the state service, and against jobs that are not done soon after the faults.
-func TestLargePool(t *testing.T) {
+func TestLargeCluster(t *testing.T) {
 	const scale = 0.25
 	world := newLargeWorld(3, scale)
 	rng := rand.New(rand.NewPCG(3, 4))
--- a/internal/simulation/live_cloud.go
+++ b/internal/simulation/live_cloud.go
@@ -29,7 +29,7 @@
 	case "POST/rentals":
 		object := readObject(r)
 		spot, _ := object["loaner"].(bool)
-		response := live.world.executeCloud(message.CloudRequest{Kind: message.CloudRent, IdempotencyKey: toText(object["booking"]), MachineType: toText(object["flavour"]), Zone: toText(object["site"]), Spot: spot, Count: int(toUint(object["count"]))})
+		response := live.world.executeCloud(message.CloudRequest{Kind: message.CloudRent, IdempotencyKey: toString(object["booking"]), MachineType: toString(object["flavour"]), Zone: toString(object["site"]), Spot: spot, Count: int(toUint(object["count"]))})
 		if response.Status == message.CloudNoCapacity {
 			writeReply(rw, http.StatusServiceUnavailable, obj{"error": "no capacity"})
 			return
@@ -38,7 +38,7 @@
 	case "POST/rentals/return":
 		var ids []string
 		for _, host := range toList(readObject(r)["hosts"]) {
-			ids = append(ids, toText(host))
+			ids = append(ids, toString(host))
 		}
 		live.world.executeCloud(message.CloudRequest{Kind: message.CloudRelease, Machines: ids})
 		writeReply(rw, http.StatusOK, obj{})
--- a/internal/simulation/live_state.go
+++ b/internal/simulation/live_state.go
@@ -73,18 +73,18 @@
 		object := readObject(r)
 		for _, item := range toList(object["when"]) {
 			entry := item.(obj)
-			request.Compares = append(request.Compares, message.Compare{Key: toText(entry["key"]), ModRevision: toUint(entry["stamp"])})
+			request.Compares = append(request.Compares, message.Compare{Key: toString(entry["key"]), ModRevision: toUint(entry["stamp"])})
 		}
 		for _, item := range toList(object["apply"]) {
 			entry := item.(obj)
 			writes++
-			if k := toText(entry["remove"]); k != "" {
+			if k := toString(entry["remove"]); k != "" {
 				request.Writes = append(request.Writes, message.Write{Key: k})
 				continue
 			}
 			_, isMap := entry["value"].(obj)
-			request.Writes = append(request.Writes, message.Write{Key: toText(entry["put"]), Value: encodeValue(entry["value"]), LeaseID: toUint(entry["permit"])})
-			malformed = malformed || toText(entry["put"]) == "" || !isMap
+			request.Writes = append(request.Writes, message.Write{Key: toString(entry["put"]), Value: encodeValue(entry["value"]), LeaseID: toUint(entry["permit"])})
+			malformed = malformed || toString(entry["put"]) == "" || !isMap
 		}
 	default:
 		malformed = true
--- a/internal/simulation/live_wire.go
+++ b/internal/simulation/live_wire.go
@@ -40,8 +40,8 @@
 	return uint64(f)
 }
 
-// toText returns a decoded string, or an empty one for a value of any other type.
-func toText(v any) string { s, _ := v.(string); return s }
+// toString returns a decoded string, or an empty one for a value of any other type.
+func toString(v any) string { s, _ := v.(string); return s }
 
 // toList returns a decoded array, or nil for a value of any other type.
 func toList(v any) []any { s, _ := v.([]any); return s }
--- a/internal/simulation/live_worker.go
+++ b/internal/simulation/live_worker.go
@@ -65,10 +65,10 @@
 	var out []model.TaskCommand
 	for _, entry := range toList(v) {
 		object := entry.(obj)
-		name := toText(object["piece"])
+		name := toString(object["piece"])
 		i := strings.LastIndexByte(name, '/')
 		gracePeriod, _ := strconv.ParseFloat(fmt.Sprint(object["wind_down_s"]), 64)
-		out = append(out, model.TaskCommand{Kind: model.TaskCommandKind(toText(object["verb"])), Job: name[:i], Index: int(toUint(name[i+1:])), Attempt: toUint(object["try"]), GracePeriod: record.DurationOfSeconds(gracePeriod)})
+		out = append(out, model.TaskCommand{Kind: model.TaskCommandKind(toString(object["verb"])), Job: name[:i], Index: int(toUint(name[i+1:])), Attempt: toUint(object["try"]), GracePeriod: record.DurationOfSeconds(gracePeriod)})
 	}
 	return out
 }
@@ -110,7 +110,7 @@
 	body := encodeValue(encodeHeartbeat(&heartbeat))
 	client := live.heartbeatClients[machine]
 	live.running.Go(func() {
-		status, answer := live.postReport(client, live.controllers[to], body)
+		status, answer := live.postHeartbeatBody(client, live.controllers[to], body)
 		live.mu.Lock()
 		defer live.mu.Unlock()
 		if live.stopped {
@@ -129,7 +129,7 @@
 			machine.epoch, machine.leaseStart = epoch, sent
 			live.world.executeCommands(machine, decodeCommands(answer["orders"]))
 		case status == http.StatusMisdirectedRequest && answer["steward"] != nil:
-			i, _ := strconv.Atoi(strings.TrimPrefix(toText(answer["steward"]), "node-"))
+			i, _ := strconv.Atoi(strings.TrimPrefix(toString(answer["steward"]), "node-"))
 			machine.controller, machine.nextHeartbeatAt = i, live.world.now
 		default:
 			machine.controller, machine.nextHeartbeatAt = (to+1)%len(live.controllers), live.world.now.Add(300*time.Millisecond)
@@ -137,9 +137,9 @@
 	})
 }
 
-// postReport posts an encoded heartbeat to the controller at addr. It returns the HTTP status, or 0
+// postHeartbeatBody posts an encoded heartbeat to the controller at addr. It returns the HTTP status, or 0
 // if there was no answer, and the decoded body.
-func (live *Live) postReport(client *http.Client, addr string, body []byte) (status int, answer obj) {
+func (live *Live) postHeartbeatBody(client *http.Client, addr string, body []byte) (status int, answer obj) {
 	ctx, cancel := context.WithTimeout(live.requests, heartbeatTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v1/report", bytes.NewReader(body))
--- a/internal/simulation/lost_responses_test.go
+++ b/internal/simulation/lost_responses_test.go
@@ -89,7 +89,7 @@
 					})
 				}
 				world.schedule(8*time.Minute, func() { responses.fraction = 0 })
-				randomDay(world, seed+900)
+				runRandomDay(world, seed+900)
 				reportViolations(t, append(world.Violations, recorder.check()...))
 				recorder.checkTotals(t)
 				checkFinalAnswers(t, world, true)
@@ -120,7 +120,7 @@
 	for seed := range dayCount(t, 8, 3) {
 		fragmented := newFragmentedWorld(t, seed, 3)
 		responses := loseResponses(fragmented.World, seed, 0.4)
-		fragmented.watchDown()
+		fragmented.watchJobsWithoutReplicas()
 		fragmented.submitLarge()
 		fragmented.Run(150 * time.Second)
 		responses.fraction = 0
@@ -128,13 +128,13 @@
 		if fragmented.runningTasks("job-large") != 1 {
 			t.Errorf("seed %d: got job-large not running, want it running", seed)
 		}
-		for _, id := range fragmented.small {
+		for _, id := range fragmented.smallJobs {
 			if fragmented.runningTasks(id) != 2 {
 				t.Errorf("seed %d, %s: got %d running replicas, want 2", seed, id, fragmented.runningTasks(id))
 			}
 		}
-		if fragmented.down != "" || len(fragmented.Violations) > 0 {
-			t.Errorf("seed %d: got job %q with all replicas down and violations %v, want none", seed, fragmented.down, fragmented.Violations)
+		if fragmented.jobWithoutReplicas != "" || len(fragmented.Violations) > 0 {
+			t.Errorf("seed %d: got job %q with all replicas down and violations %v, want none", seed, fragmented.jobWithoutReplicas, fragmented.Violations)
 		}
 		fragmented.Run(6 * time.Minute)
 		if rec := fragmented.state.records["move/ops"]; rec != nil {
--- a/internal/simulation/lower_limits_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -15,8 +15,8 @@
 // settings only after it has been replaced by the new version.
 type lowerLimitsWorld struct {
 	*World
-	// next holds the settings with the new limits.
-	next controller.Settings
+	// newSettings holds the settings with the new limits.
+	newSettings controller.Settings
 	// replaced says, by controller index, which controllers have been replaced by the new version.
 	replaced []bool
 	// unreadableWrites counts writes of records that the old version cannot read, made while a controller
@@ -29,12 +29,12 @@
 	settings := testSettings()
 	settings.Zones, settings.Teams = []string{"a"}, []model.Team{{Name: "ops"}, {Name: "lab"}}
 	types := []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 16, Memory: 64}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
-	world := &lowerLimitsWorld{World: NewWorld(seed, 3, settings, testCancelWithin, types, map[string]int{"box/a/false": 40}), next: settings, replaced: make([]bool, 3)}
-	world.next.MaxValueBytes, world.next.CurrentMaxValueBytes, world.next.MaxTxnWrites, world.next.StoreWritesPerSecond = 1024, settings.MaxValueBytes, 4, 21
+	world := &lowerLimitsWorld{World: NewWorld(seed, 3, settings, testCancelWithin, types, map[string]int{"box/a/false": 40}), newSettings: settings, replaced: make([]bool, 3)}
+	world.newSettings.MaxValueBytes, world.newSettings.CurrentMaxValueBytes, world.newSettings.MaxTxnWrites, world.newSettings.StoreWritesPerSecond = 1024, settings.MaxValueBytes, 4, 21
 	world.adjustSettings = func(i int, settings *controller.Settings) {
 		if world.replaced[i] {
-			settings.MaxValueBytes, settings.CurrentMaxValueBytes = world.next.MaxValueBytes, world.next.CurrentMaxValueBytes
-			settings.MaxTxnWrites, settings.StoreWritesPerSecond = world.next.MaxTxnWrites, world.next.StoreWritesPerSecond
+			settings.MaxValueBytes, settings.CurrentMaxValueBytes = world.newSettings.MaxValueBytes, world.newSettings.CurrentMaxValueBytes
+			settings.MaxTxnWrites, settings.StoreWritesPerSecond = world.newSettings.MaxTxnWrites, world.newSettings.StoreWritesPerSecond
 		}
 	}
 	world.state.onChange = func(change message.KeyValue) {
@@ -57,13 +57,13 @@
 }
 
 // lowerLimits makes the state service enforce the new limits.
-func (world *lowerLimitsWorld) lowerLimits() { world.state.SetLimits(world.next) }
+func (world *lowerLimitsWorld) lowerLimits() { world.state.SetLimits(world.newSettings) }
 
-// TestLowerLimitsUnseen replaces the last controller while it is partitioned from the state service until long
+// TestLowerLimitsWithUnseenReplacement replaces the last controller while it is partitioned from the state service until long
 // after the limits are lowered. The other controllers cannot learn that it runs the new version, so they go on
 // writing under the old limits. They may be refused only a few times before they adopt the new limits, and all
 // jobs must end.
-func TestLowerLimitsUnseen(t *testing.T) {
+func TestLowerLimitsWithUnseenReplacement(t *testing.T) {
 	world := newLowerLimitsWorld(7)
 	world.Run(time.Minute)
 	ids := world.submitMany("ops", "ops", 6, 100, 1, 40*time.Second)
--- a/internal/simulation/margins.go
+++ b/internal/simulation/margins.go
@@ -87,7 +87,7 @@
 		world.recordMargin(RuleWaiting, left, id+" beside room on "+machine.ID)
 		if left < 0 && !job.waitReported {
 			job.waitReported = true
-			world.violate(RuleWaiting, "%s of %s has waited for %.0f s, now beside room on %s", id, job.spec.Team, world.now.Sub(from).Seconds(), machine.ID)
+			world.reportViolation(RuleWaiting, "%s of %s has waited for %.0f s, now beside room on %s", id, job.spec.Team, world.now.Sub(from).Seconds(), machine.ID)
 		}
 	}
 }
--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// replica is a replica of a long-running job over all its attempts.
-type replica struct {
+// replicaHistory is a replica of a long-running job over all its attempts.
+type replicaHistory struct {
 	// upTime is the time for which the replica was up, without the current period since upSince.
 	upTime           time.Duration
 	upSince          time.Time
@@ -134,7 +134,7 @@
 	}
 	history := task.job.replicas[task.index]
 	if history == nil {
-		history = &replica{}
+		history = &replicaHistory{}
 		task.job.replicas[task.index] = history
 	}
 	if history.stoppedByCommand {
--- a/internal/simulation/models_test.go
+++ b/internal/simulation/models_test.go
@@ -16,14 +16,14 @@
 // the free capacity, so that no host is free, and the cloud has no more hosts to rent.
 type fragmentedWorld struct {
 	*World
-	// small has the IDs of the four jobs.
-	small []string
-	// from and to are the source and the target machine of the first step of the first plan in the last
+	// smallJobs has the IDs of the four jobs.
+	smallJobs []string
+	// source and to are the source and the target machine of the first step of the first plan in the last
 	// migration record that a controller wrote, and host is the machine that this plan frees.
-	from, to, host string
-	// down names the first small job that had no replica on a machine, with the time; it is empty if
+	source, target, host string
+	// jobWithoutReplicas names the first small job that had no replica on a machine, with the time; it is empty if
 	// every small job always had one.
-	down string
+	jobWithoutReplicas string
 }
 
 // newFragmentedWorld submits eight small jobs, and cancels four of them whose end leaves every host partly
@@ -41,14 +41,14 @@
 		id := fmt.Sprintf("job-s%05d", i)
 		world.Submit(model.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 2,
 			Need: model.Resources{CPU: 8, GPU: 2, Memory: 64}, Image: fmt.Sprintf("small-%d", i%2), ImageGB: 5}, 0, false)
-		fragmented.small = append(fragmented.small, id)
+		fragmented.smallJobs = append(fragmented.smallJobs, id)
 		world.Run(time.Second)
 	}
 	world.Run(90 * time.Second)
 	// Cancel four jobs so that every host keeps a replica and no host is full.
 	for mask := range 1 << 8 {
 		var keep, cancel []string
-		for i, id := range fragmented.small {
+		for i, id := range fragmented.smallJobs {
 			if mask>>i&1 == 1 {
 				cancel = append(cancel, id)
 			} else {
@@ -58,7 +58,7 @@
 		if len(cancel) != 4 || !fragmented.isFragmented(keep) {
 			continue
 		}
-		fragmented.small = keep
+		fragmented.smallJobs = keep
 		for _, id := range cancel {
 			world.Cancel(id)
 		}
@@ -100,20 +100,20 @@
 		Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
-// watchDown records the first small job without a replica on a machine. It checks once a tick from its
+// watchJobsWithoutReplicas records the first small job without a replica on a machine. It checks once a tick from its
 // call on.
-func (fragmented *fragmentedWorld) watchDown() {
-	for _, id := range fragmented.small {
-		if fragmented.runningTasks(id) == 0 && fragmented.down == "" {
-			fragmented.down = fmt.Sprintf("%s at %v", id, fragmented.now.Sub(fragmented.startedAt))
+func (fragmented *fragmentedWorld) watchJobsWithoutReplicas() {
+	for _, id := range fragmented.smallJobs {
+		if fragmented.runningTasks(id) == 0 && fragmented.jobWithoutReplicas == "" {
+			fragmented.jobWithoutReplicas = fmt.Sprintf("%s at %v", id, fragmented.now.Sub(fragmented.startedAt))
 		}
 	}
-	fragmented.schedule(tickInterval, fragmented.watchDown)
+	fragmented.schedule(tickInterval, fragmented.watchJobsWithoutReplicas)
 }
 
-// noteMigration reports whether an effect writes a migration record with a plan, and stores the machines of
+// recordMigration reports whether an effect writes a migration record with a plan, and stores the machines of
 // its first plan in the receiver.
-func (fragmented *fragmentedWorld) noteMigration(effect message.Effect) bool {
+func (fragmented *fragmentedWorld) recordMigration(effect message.Effect) bool {
 	request, ok := effect.(message.StoreRequest)
 	if !ok || request.Kind != message.OpTxn || len(request.Writes) == 0 || !strings.HasPrefix(request.Writes[0].Key, "move/") {
 		return false
@@ -130,7 +130,7 @@
 	if msgpack.Unmarshal(request.Writes[0].Value, &record) != nil || len(record.Plans) == 0 {
 		return false
 	}
-	fragmented.from, fragmented.to, fragmented.host = record.Plans[0].Steps[0].From, record.Plans[0].Steps[0].To, record.Plans[0].Host
+	fragmented.source, fragmented.target, fragmented.host = record.Plans[0].Steps[0].From, record.Plans[0].Steps[0].To, record.Plans[0].Host
 	return true
 }
 
@@ -156,19 +156,19 @@
 // job at once or leave some of them down.
 func TestMigrationsFreeCapacity(t *testing.T) {
 	fragmented := newFragmentedWorld(t, 1, 3)
-	fragmented.watchDown()
+	fragmented.watchJobsWithoutReplicas()
 	fragmented.submitLarge()
 	fragmented.Run(80 * time.Second)
 	if fragmented.runningTasks("job-large") != 1 {
 		t.Error("got the large job not running, want it running")
 	}
-	for _, id := range fragmented.small {
+	for _, id := range fragmented.smallJobs {
 		if fragmented.runningTasks(id) != 2 {
 			t.Errorf("%s: got %d running replicas, want 2", id, fragmented.runningTasks(id))
 		}
 	}
-	if fragmented.down != "" || len(fragmented.Violations) > 0 {
-		t.Errorf("got job with all replicas down %q, violations %v, want none", fragmented.down, fragmented.Violations)
+	if fragmented.jobWithoutReplicas != "" || len(fragmented.Violations) > 0 {
+		t.Errorf("got job with all replicas down %q, violations %v, want none", fragmented.jobWithoutReplicas, fragmented.Violations)
 	}
 	// Finished migrations are removed from the record, and an empty record is deleted.
 	fragmented.Run(6 * time.Minute)
@@ -185,7 +185,9 @@
 // and against violated invariants.
 func TestMigrationsSurviveFaults(t *testing.T) {
 	steps := map[string]func(*fragmentedWorld, message.Effect) bool{
-		"intent": func(fragmented *fragmentedWorld, effect message.Effect) bool { return fragmented.noteMigration(effect) },
+		"intent": func(fragmented *fragmentedWorld, effect message.Effect) bool {
+			return fragmented.recordMigration(effect)
+		},
 		"stop": func(fragmented *fragmentedWorld, effect message.Effect) bool {
 			return hasCommand(effect, model.StopTask, "job-s")
 		},
@@ -213,8 +215,8 @@
 	machineFault := func(name func(*fragmentedWorld) string, inject func(*fragmentedWorld, *Worker)) fault {
 		return fault{func(fragmented *fragmentedWorld) { inject(fragmented, fragmented.machines[name(fragmented)]) }, true}
 	}
-	target := func(fragmented *fragmentedWorld) string { return fragmented.to }
-	source := func(fragmented *fragmentedWorld) string { return fragmented.from }
+	target := func(fragmented *fragmentedWorld) string { return fragmented.target }
+	source := func(fragmented *fragmentedWorld) string { return fragmented.source }
 	host := func(fragmented *fragmentedWorld) string { return fragmented.host }
 	kill := func(fragmented *fragmentedWorld, machine *Worker) { fragmented.killMachine(machine) }
 	partition := func(fragmented *fragmentedWorld, machine *Worker) {
@@ -245,11 +247,11 @@
 			t.Run(step+"/"+name, func(t *testing.T) {
 				t.Parallel()
 				fragmented := newFragmentedWorld(t, seed, controllers)
-				fragmented.watchDown()
+				fragmented.watchJobsWithoutReplicas()
 				injected := false
 				fragmented.corruptEffect = func(effect message.Effect) message.Effect {
-					fragmented.noteMigration(effect)
-					if !injected && fragmented.to != "" && steps[step](fragmented, effect) {
+					fragmented.recordMigration(effect)
+					if !injected && fragmented.target != "" && steps[step](fragmented, effect) {
 						injected = true
 						fragmented.schedule(late, func() { faults[name].inject(fragmented) })
 					}
@@ -263,13 +265,13 @@
 				if fragmented.runningTasks("job-large") != 1 {
 					t.Error("got the large job not running, want it running")
 				}
-				for _, id := range fragmented.small {
+				for _, id := range fragmented.smallJobs {
 					if fragmented.runningTasks(id) != 2 {
 						t.Errorf("%s: got %d running replicas, want 2", id, fragmented.runningTasks(id))
 					}
 				}
-				if fragmented.down != "" && !faults[name].stops {
-					t.Errorf("got all replicas of %s down, want one of them running at any time", fragmented.down)
+				if fragmented.jobWithoutReplicas != "" && !faults[name].stops {
+					t.Errorf("got all replicas of %s down, want one of them running at any time", fragmented.jobWithoutReplicas)
 				}
 				reportViolations(t, fragmented.Violations)
 				if t.Failed() {
--- a/internal/simulation/partial_faults.go
+++ b/internal/simulation/partial_faults.go
@@ -43,9 +43,9 @@
 	world.replayToNextLeader = false
 }
 
-// copyHeartbeat schedules or keeps a copy of a heartbeat if the fault of CopyHeartbeats is active
+// maybeCopyHeartbeat schedules or keeps a copy of a heartbeat if the fault of CopyHeartbeats is active
 // and selects the heartbeat.
-func (world *World) copyHeartbeat(heartbeat model.Heartbeat) {
+func (world *World) maybeCopyHeartbeat(heartbeat model.Heartbeat) {
 	if !world.now.Before(world.heartbeatCopiesUntil) || world.rng.Float64() >= world.heartbeatCopyRate {
 		return
 	}
@@ -105,8 +105,8 @@
 	}
 }
 
-// crashesOn crashes a process if crashCondition matches the effect, and reports whether it did.
-func (world *World) crashesOn(process *controllerProcess, effect message.Effect) bool {
+// crashIfMatched crashes a process if crashCondition matches the effect, and reports whether it did.
+func (world *World) crashIfMatched(process *controllerProcess, effect message.Effect) bool {
 	condition := world.crashCondition
 	if condition == nil {
 		return false
--- a/internal/simulation/pipeline_reads_test.go
+++ b/internal/simulation/pipeline_reads_test.go
@@ -19,9 +19,9 @@
 
 // dependentFate is the value of the linearizability register of a job in a pipeline.
 type dependentFate struct {
-	is jobFate
-	// doomed means that a direct or indirect dependency of the job is cancelled.
-	doomed bool
+	fate jobFate
+	// dependencyCancelled means that a direct or indirect dependency of the job is cancelled.
+	dependencyCancelled bool
 }
 
 // dependentJobModel is jobModel with cancellations of dependencies. A cancelled dependency is never done,
@@ -31,19 +31,19 @@
 	Step: func(state, input, output any) (bool, any) {
 		previous, operation, answer := state.(dependentFate), input.(jobOperation), output.(jobAnswer)
 		if operation.kind == opDependencyCancelled {
-			next := dependentFate{previous.is, true}
-			if previous.is == accepted {
-				next.is = cancelled
+			next := dependentFate{previous.fate, true}
+			if previous.fate == fateAccepted {
+				next.fate = fateCancelled
 			}
-			return previous.is != done, next
+			return previous.fate != fateDone, next
 		}
-		if operation.kind == opSubmit && previous.is == unknown && previous.doomed {
+		if operation.kind == opSubmit && previous.fate == fateUnknown && previous.dependencyCancelled {
 			// A job with a cancelled dependency is accepted all the same, and is then cancelled.
-			ok := answer.status == 201 && (answer.fate == accepted || answer.fate == cancelled)
-			return answer.status == 0 || ok || answer.status == 200 && answer.fate == cancelled, dependentFate{cancelled, true}
+			ok := answer.status == 201 && (answer.fate == fateAccepted || answer.fate == fateCancelled)
+			return answer.status == 0 || ok || answer.status == 200 && answer.fate == fateCancelled, dependentFate{fateCancelled, true}
 		}
-		ok, next := jobModel.Step(previous.is, input, output)
-		return ok, dependentFate{next.(jobFate), previous.doomed}
+		ok, next := jobModel.Step(previous.fate, input, output)
+		return ok, dependentFate{next.(jobFate), previous.dependencyCancelled}
 	},
 }
 
@@ -67,10 +67,10 @@
 		readers.world.linkDependencies(job)
 		submit := func() {
 			job.submitted = readers.world.now
-			readers.cancels[id(k)] = cancelOn[k]
-			readers.burst(id(k), unknown)
+			readers.cancelOn[id(k)] = cancelOn[k]
+			readers.startBurst(id(k), fateUnknown)
 			readers.send(readers.rng.IntN(len(readers.world.controllers)), opSubmit, id(k))
-			readers.readEverywhere(id(k))
+			readers.pollUntilFinal(id(k))
 		}
 		readers.world.schedule(at, func() { onAllReached(job.dependencies, milestoneAccepted, submit) })
 	}
@@ -91,7 +91,7 @@
 	id := job.spec.ID
 	out := splitAcceptAndCancel(readers.history[id])
 	for _, dependency := range allDependencies(job) {
-		if readers.newestFate[dependency.spec.ID] != cancelled {
+		if readers.newestFate[dependency.spec.ID] != fateCancelled {
 			continue
 		}
 		requested, confirmed := int64(math.MaxInt64), int64(math.MaxInt64)
@@ -99,7 +99,7 @@
 			if operation.Input.(jobOperation).kind == opCancel {
 				requested = min(requested, operation.Call)
 			}
-			if operation.Output.(jobAnswer).fate == cancelled {
+			if operation.Output.(jobAnswer).fate == fateCancelled {
 				confirmed = min(confirmed, operation.Return)
 			}
 		}
@@ -121,10 +121,10 @@
 func splitAcceptAndCancel(history []porcupine.Operation) []porcupine.Operation {
 	var out []porcupine.Operation
 	for _, operation := range history {
-		if input, answer := operation.Input.(jobOperation), operation.Output.(jobAnswer); answer.status == 201 && answer.fate == cancelled {
-			operation.Output = jobAnswer{201, accepted}
+		if input, answer := operation.Input.(jobOperation), operation.Output.(jobAnswer); answer.status == 201 && answer.fate == fateCancelled {
+			operation.Output = jobAnswer{201, fateAccepted}
 			read := operation
-			read.Input, read.Output = jobOperation{input.job, opPoll}, jobAnswer{200, cancelled}
+			read.Input, read.Output = jobOperation{input.job, opPoll}, jobAnswer{200, fateCancelled}
 			out = append(out, read)
 		}
 		out = append(out, operation)
@@ -163,7 +163,7 @@
 			out = append(out, fmt.Sprintf("%s: history is not linearizable: %s: %s", id, result, formatHistory(readers.addDependencyCancels(job))))
 		}
 		for _, dependency := range job.dependencies {
-			if readers.newestFate[dependency.spec.ID] == cancelled && readers.newestFate[id] != cancelled {
+			if readers.newestFate[dependency.spec.ID] == fateCancelled && readers.newestFate[id] != fateCancelled {
 				out = append(out, fmt.Sprintf("%s: got state %q although %s is cancelled", id, readers.newestFate[id], dependency.spec.ID))
 			}
 		}
@@ -179,11 +179,11 @@
 	for i := range pipelines {
 		cancelOn := [5]jobFate{neverFate, neverFate, neverFate, neverFate, neverFate}
 		if i%3 > 0 {
-			cancelOn[i%5] = []jobFate{accepted, cancelled, done}[readers.rng.IntN(3)]
-			cancelOn[readers.rng.IntN(5)] = []jobFate{unknown, accepted, done}[readers.rng.IntN(3)]
+			cancelOn[i%5] = []jobFate{fateAccepted, fateCancelled, fateDone}[readers.rng.IntN(3)]
+			cancelOn[readers.rng.IntN(5)] = []jobFate{fateUnknown, fateAccepted, fateDone}[readers.rng.IntN(3)]
 			if i%3 == 2 {
 				// Cancel all jobs of this pipeline before they are accepted.
-				cancelOn = [5]jobFate{unknown, unknown, unknown, unknown, unknown}
+				cancelOn = [5]jobFate{fateUnknown, fateUnknown, fateUnknown, fateUnknown, fateUnknown}
 			}
 		}
 		readers.addPipeline(30*time.Second+time.Duration(i)*interval, fmt.Sprintf("%05d", i), cancelOn)
@@ -214,11 +214,11 @@
 			ends := map[jobFate]int{}
 			for _, job := range readers.jobs {
 				fate := readers.newestFate[job.spec.ID]
-				if ends[fate]++; fate != done && fate != cancelled {
+				if ends[fate]++; fate != fateDone && fate != fateCancelled {
 					t.Errorf("%s: got final state %q, want done or cancelled", job.spec.ID, fate)
 				}
 			}
-			if ends[done] < 10 || ends[cancelled] < 10 {
+			if ends[fateDone] < 10 || ends[fateCancelled] < 10 {
 				t.Errorf("got ends %v, want at least 10 done and 10 cancelled", ends)
 			}
 			t.Logf("%v, bursts %v, unanswered %v", ends, readers.bursts, readers.unansweredCount)
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// startEarly returns a corruption that starts a job's first task before its dependencies are done: it adds the
+// injectEarlyStart returns a corruption that starts a job's first task before its dependencies are done: it adds the
 // start to the first commands for any machine, and drops all commands that stop tasks of the job.
-func startEarly(id string) func(message.Effect) message.Effect {
+func injectEarlyStart(id string) func(message.Effect) message.Effect {
 	start, startsLeft := model.TaskCommand{Kind: model.StartTask, Job: id, Attempt: 99}, 1
 	addStart := func(commands []model.TaskCommand) []model.TaskCommand {
 		commands = slices.DeleteFunc(slices.Clone(commands), func(command model.TaskCommand) bool { return command.Kind == model.StopTask && command.Job == id })
@@ -80,7 +80,7 @@
 		{"not corrupted", "", nil, ""},
 		{"not corrupted, cancelled", "", nil, milestoneAccepted},
 		{"not corrupted, cancelled at the end", "", nil, milestoneTasksDone},
-		{"a dependent starts early", "too_early", func(*World) func(message.Effect) message.Effect { return startEarly(idC) }, ""},
+		{"a dependent starts early", "too_early", func(*World) func(message.Effect) message.Effect { return injectEarlyStart(idC) }, ""},
 		{"a cancelled dependent is answered as queued for ever", RuleOrphaned, func(*World) func(message.Effect) message.Effect {
 			return corruptReplies(idC, func(reply *message.UserReply) {
 				if reply.State == "cancelled" {
--- a/internal/simulation/promises.go
+++ b/internal/simulation/promises.go
@@ -35,7 +35,7 @@
 	if row := world.state.records["promise/totals"]; row != nil {
 		totals, err := promise.DecodeTotals(row.value)
 		if err != nil {
-			world.violate("malformed", "totals: %v", err)
+			world.reportViolation("malformed", "totals: %v", err)
 			return summary
 		}
 		sum := totals.Sum()
@@ -50,7 +50,7 @@
 			continue
 		}
 		accepted++
-		if job.promisedAtFirst {
+		if job.promisedInFirstAnswer {
 			first++
 		}
 		if job.lastState == "done" && job.promiseRevision > 0 {
--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -68,8 +68,8 @@
 	revised int
 }
 
-// since returns the time from the start of the world to t in nanoseconds.
-func (recorder *promiseRecorder) since(t time.Time) int64 {
+// nanosecondsSinceStart returns the time from the start of the world to t in nanoseconds.
+func (recorder *promiseRecorder) nanosecondsSinceStart(t time.Time) int64 {
 	return t.Sub(recorder.world.startedAt).Nanoseconds()
 }
 
@@ -79,7 +79,7 @@
 	world.state.onChange = recorder.onChange
 	world.onAnswer = func(sentAt time.Time, reply message.UserReply) {
 		if reply.PromiseRevision > 0 {
-			recorder.history = append(recorder.history, porcupine.Operation{ClientId: len(recorder.history), Input: promiseOperation{job: reply.ID}, Call: recorder.since(sentAt), Output: promiseValue{reply.PromiseRevision, reply.PromisedAfter}, Return: recorder.since(world.now)})
+			recorder.history = append(recorder.history, porcupine.Operation{ClientId: len(recorder.history), Input: promiseOperation{job: reply.ID}, Call: recorder.nanosecondsSinceStart(sentAt), Output: promiseValue{reply.PromiseRevision, reply.PromisedAfter}, Return: recorder.nanosecondsSinceStart(world.now)})
 		}
 	}
 	return recorder
@@ -101,7 +101,7 @@
 		recorder.revised++
 	}
 	recorder.newest[id], recorder.issuedAt[id] = value, recorder.world.now
-	at := recorder.since(recorder.world.now)
+	at := recorder.nanosecondsSinceStart(recorder.world.now)
 	recorder.history = append(recorder.history, porcupine.Operation{ClientId: len(recorder.history), Input: promiseOperation{id, value}, Call: at, Output: promiseValue{}, Return: at + 1})
 }
 
@@ -205,7 +205,7 @@
 			world.trace = os.Getenv("MICAHILL_TRACE")
 			recorder := recordPromises(world)
 			world.schedule(20*time.Second, func() { recorder.queryAll(world.startedAt.Add(6 * time.Minute)) })
-			randomDay(world, seed)
+			runRandomDay(world, seed)
 			reportViolations(t, append(world.Violations, recorder.check()...))
 			recorder.checkTotals(t)
 			t.Logf("%d answers, %d revised, writes %v", len(recorder.history), recorder.revised, recorder.writes)
@@ -469,8 +469,8 @@
 		for _, at := range job.firstStarts {
 			allRunningAfter = max(allRunningAfter, at.Sub(job.submitted))
 		}
-		if len(job.firstStarts) != 2 || job.promiseRevision == 0 || id > "job-002" && allRunningAfter > job.promised || id > "job-000" && !job.promisedAtFirst || job.promised > 5*time.Minute {
-			t.Errorf("%s: got all replicas running after %v, promised %v, revision %d, promised at acceptance %v, want a kept promise of at most 5m; the first job may lack one at acceptance, and the first three may break theirs", id, allRunningAfter, job.promised, job.promiseRevision, job.promisedAtFirst)
+		if len(job.firstStarts) != 2 || job.promiseRevision == 0 || id > "job-002" && allRunningAfter > job.promised || id > "job-000" && !job.promisedInFirstAnswer || job.promised > 5*time.Minute {
+			t.Errorf("%s: got all replicas running after %v, promised %v, revision %d, promised at acceptance %v, want a kept promise of at most 5m; the first job may lack one at acceptance, and the first three may break theirs", id, allRunningAfter, job.promised, job.promiseRevision, job.promisedInFirstAnswer)
 		}
 	}
 }
--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -112,7 +112,7 @@
 		case other.lastState != "queued" || world.now.Sub(other.lastStateAt) < rankingSettleTime || len(checker.placedTasks[otherID]) >= otherSpec.Tasks:
 		case !otherSpec.Need.Fits(job.spec.Need) || len(otherSpec.MachineTypes) > 0 || otherSpec.Zone != "" && otherSpec.Zone != machine.Zone || machine.Spot && !otherSpec.AllowSpot:
 		default:
-			world.violate("ranked_before", "%s places %s on %s, while %s of %s stands before it and waits", process.name, id, machine.ID, otherID, otherSpec.Workload)
+			world.reportViolation("ranked_before", "%s places %s on %s, while %s of %s stands before it and waits", process.name, id, machine.ID, otherID, otherSpec.Workload)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 			}
 			checker.OutdatedStarts++
 			if late := checker.world.now.Sub(checker.changedAt[i+1]); late > maxOutdatedStartDelay {
-				checker.world.violate("outdated", "%s starts %s, decided under a ranking that was replaced %v ago", process.name, name, late)
+				checker.world.reportViolation("outdated", "%s starts %s, decided under a ranking that was replaced %v ago", process.name, name, late)
 			}
 		}
 	}
--- a/internal/simulation/ranking_load_test.go
+++ b/internal/simulation/ranking_load_test.go
@@ -33,8 +33,8 @@
 						world.SetRanking(second%5, message.SetRanking{Record: mustParseRanking(t, text, "somebody"), AnyRevision: true}, func(reply message.RankingReply) { accepted += boolInt(reply.Status == 200) })
 					})
 				}
-				flood(world, "reprint-a", 30, 5*time.Second)
-				flood(world, "rush-rx", 30, 5*time.Second)
+				submitWorkload(world, "reprint-a", 30, 5*time.Second)
+				submitWorkload(world, "rush-rx", 30, 5*time.Second)
 				world.Run(58 * time.Second)
 				done := 0
 				for _, job := range world.jobs {
@@ -76,7 +76,7 @@
 					world.SetRanking(rng.IntN(len(world.controllers)), message.SetRanking{Record: mustParseRanking(t, text, "somebody"), AnyRevision: true}, func(message.RankingReply) {})
 				})
 			}
-			randomDay(world, seed+500)
+			runRandomDay(world, seed+500)
 			reportViolations(t, world.Violations)
 			checkFinalAnswers(t, world, true)
 		})
@@ -122,10 +122,10 @@
 			return waits[len(waits)*9/10]
 		}
 		rush("warm")
-		flood(world, "reprint", reprints, 6*time.Second)
+		submitWorkload(world, "reprint", reprints, 6*time.Second)
 		world.Run(5 * time.Second)
 		before = rush("before")
-		flood(world, "reprint", reprints, 6*time.Second)
+		submitWorkload(world, "reprint", reprints, 6*time.Second)
 		world.CrashController(world.shardLeaderOf("ops"), 20*time.Second)
 		world.Run(20 * time.Second)
 		after = rush("after")
@@ -162,7 +162,7 @@
 		}
 		world.Run(10 * time.Second)
 		for round := range 3 {
-			flood(world, fmt.Sprint("reprint-", round), 30, 8*time.Second)
+			submitWorkload(world, fmt.Sprint("reprint-", round), 30, 8*time.Second)
 			world.Run(12 * time.Second)
 			enabled = round%2 == 0
 			for i := range controllers {
--- a/internal/simulation/ranking_test.go
+++ b/internal/simulation/ranking_test.go
@@ -43,8 +43,8 @@
 	return rec
 }
 
-// flood submits jobs of one workload that differ only in their IDs.
-func flood(world *World, workload string, jobs int, run time.Duration) {
+// submitWorkload submits jobs of one workload that differ only in their IDs.
+func submitWorkload(world *World, workload string, jobs int, run time.Duration) {
 	for i := range jobs {
 		id := fmt.Sprintf("job-%s-%03d", workload, i)
 		for world.jobs[id] != nil {
@@ -87,13 +87,13 @@
 					}
 				}
 				world.Run(20 * time.Second)
-				flood(world, "reprint", 12, 10*time.Second)
+				submitWorkload(world, "reprint", 12, 10*time.Second)
 				world.Run(15 * time.Second)
-				flood(world, "rush-rx", 5, 10*time.Second)
+				submitWorkload(world, "rush-rx", 5, 10*time.Second)
 				world.Run(5 * time.Second)
 				world.CrashController(shardLeader, time.Hour)
 				world.Run(20 * time.Second)
-				flood(world, "rush-rx", 5, 10*time.Second)
+				submitWorkload(world, "rush-rx", 5, 10*time.Second)
 				world.runUntilDone()
 				// Count the reprint tasks that start after the last rush task.
 				var last time.Time
@@ -140,9 +140,9 @@
 					t.Parallel()
 					world := newRankingWorld(uint64(100*controllers+k), controllers)
 					scenarioRun := &scenario{world: world}
-					flood(world, "reprint-a", 30, 8*time.Second)
+					submitWorkload(world, "reprint-a", 30, 8*time.Second)
 					world.Run(25 * time.Second)
-					flood(world, "rush-rx", 6, 8*time.Second)
+					submitWorkload(world, "rush-rx", 6, 8*time.Second)
 					shardLeader := world.shardLeaderOf("ops")
 					setter := (shardLeader + 1) % controllers
 					world.duplicateRate = 0.05
@@ -170,7 +170,7 @@
 						world.Partition(world.controllers[shardLeader].name, "state", 20*time.Second, k%2 == 0)
 					}
 					world.Run(100 * time.Second)
-					flood(world, "rush-rx", 4, 8*time.Second)
+					submitWorkload(world, "rush-rx", 4, 8*time.Second)
 					world.runUntilDone()
 					reportViolations(t, world.Violations)
 					out := scenarioRun.describeRanking(t)
@@ -203,7 +203,7 @@
 				changed := 0
 				for seed := range uint64(4) {
 					world := newRankingWorld(seed, 3)
-					flood(world, "reprint-a", 40, 6*time.Second)
+					submitWorkload(world, "reprint-a", 40, 6*time.Second)
 					world.Run(24 * time.Second)
 					shardLeader := world.shardLeaderOf("ops")
 					process := world.controllers[shardLeader]
--- a/internal/simulation/scenario_faults_test.go
+++ b/internal/simulation/scenario_faults_test.go
@@ -97,9 +97,9 @@
 	return 0
 }
 
-// watchUnreachable records, from this call on, the attempts that controllers try to start on the machines while
+// recordStartsOnUnreachable records, from this call on, the attempts that controllers try to start on the machines while
 // they are unreachable.
-func (scenario *scenario) watchUnreachable(ids []string) {
+func (scenario *scenario) recordStartsOnUnreachable(ids []string) {
 	scenario.unreachable, scenario.startedUnreachable = map[string]bool{}, map[string]bool{}
 	for _, id := range ids {
 		scenario.unreachable[id] = true
@@ -318,7 +318,7 @@
 		world.RestartWorker(scenario.busiestMachine(), 0)
 	case "mute_machines":
 		// Heartbeats of the machines are lost, but commands reach the machines.
-		world.MakeUnheard(sampleMachines(), duration)
+		world.MuteMachines(sampleMachines(), duration)
 	case "deaf_machines":
 		// Heartbeats of the machines arrive, but replies and commands don't reach the machines.
 		var ids []string
@@ -328,7 +328,7 @@
 			ids = sampleMachines()
 		}
 		world.MakeUnreachable(ids, duration, command.HasArg("hold"))
-		scenario.watchUnreachable(ids)
+		scenario.recordStartsOnUnreachable(ids)
 	default:
 		return false
 	}
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -160,7 +160,7 @@
 func (scenario *scenario) runUserCommand(t *testing.T, command *datadriven.TestData) (string, bool) {
 	switch command.Cmd {
 	case "flood":
-		flood(scenario.world, arg(t, command, "workload", "reprint"), arg(t, command, "jobs", 40), durationArg(t, command, "run", 10))
+		submitWorkload(scenario.world, arg(t, command, "workload", "reprint"), arg(t, command, "jobs", 40), durationArg(t, command, "run", 10))
 	case "submit":
 		scenario.submit(t, command)
 	case "many":
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -14,8 +14,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// randomDay runs a world for 14 minutes with random jobs and random faults derived from the seed.
-func randomDay(world *World, seed uint64) {
+// runRandomDay runs a world for 14 minutes with random jobs and random faults derived from the seed.
+func runRandomDay(world *World, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	// One day in three also has partial faults: one-way partitions, and crashes with immediate restarts.
 	partialRNG := rand.New(rand.NewPCG(seed, 77))
@@ -86,7 +86,7 @@
 			// To trace jobs or machines on one day, such as job-000013|vm-000003:
 			// MICAHILL_TRACE=... go test ./internal/simulation -run 'TestSimulation$/^7$'
 			world.trace = os.Getenv("MICAHILL_TRACE")
-			randomDay(world, seed)
+			runRandomDay(world, seed)
 			reportViolations(t, world.Violations)
 			checkFinalAnswers(t, world, true)
 			if world.Starts == 0 {
--- a/internal/simulation/small_jobs_test.go
+++ b/internal/simulation/small_jobs_test.go
@@ -24,9 +24,9 @@
 	acceptTimes []time.Duration
 }
 
-// newSmallJobs returns a stream without jobs in a world of 150 machines, whose state service takes 80 requests
+// newSmallJobStream returns a stream without jobs in a world of 150 machines, whose state service takes 80 requests
 // and writesPerSecond writes a second.
-func newSmallJobs(seed uint64, writesPerSecond float64) *smallJobStream {
+func newSmallJobStream(seed uint64, writesPerSecond float64) *smallJobStream {
 	settings := testSettings()
 	settings.Zones, settings.Teams = []string{"a"}, []model.Team{{Name: "ops"}}
 	settings.StoreRequestsPerSecond, settings.StoreWritesPerSecond = 80, writesPerSecond
@@ -89,7 +89,7 @@
 	const atOnce, inTime = 300 * time.Millisecond, 0.98
 	for _, limit := range []float64{30, 20} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
-			stream := newSmallJobs(1, limit)
+			stream := newSmallJobStream(1, limit)
 			stream.world.Run(time.Minute)
 			clear(stream.writes)
 			stream.submitAtRate(4, 3*time.Minute)
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -14,13 +14,13 @@
 //
 // They guard against such a job waiting as long as any task runs on that machine. This happens if shard
 // leaders ask the leader only for rentals or idle machines, and offer only idle machines that they don't
-// need: then a machine in use is neither requested nor offered. In TestRoomOnAnotherOwnersMachine the job
+// need: then a machine in use is neither requested nor offered. In TestFreeCapacityOnMachineOfOtherShard the job
 // then waits from second 60 to second 151: each second its shard leader requests one big machine, the
 // leader answers that no other shard leader has a surplus, and the cloud refuses the machine type.
 
-// bigMachines returns a world of three controllers whose cloud has count big machines and no other
+// newBigMachinesWorld returns a world of three controllers whose cloud has count big machines and no other
 // machines. The world counts as free of faults from its start, so that the rules on waiting times apply.
-func bigMachines(seed uint64, count int) *World {
+func newBigMachinesWorld(seed uint64, count int) *World {
 	types, _ := testTypes()
 	world := NewWorld(seed, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": count})
 	world.faultsEndAt = world.now
@@ -86,7 +86,7 @@
 // TestFreeCapacityBesideReplicas submits a job that fits only beside long-running replicas of another shard. It
 // guards against a transfer that waits for replicas, which never end, or restarts them.
 func TestFreeCapacityBesideReplicas(t *testing.T) {
-	world := bigMachines(5, 1)
+	world := newBigMachinesWorld(5, 1)
 	spec := longJob("job-000001", 4)
 	spec.LongRunning, spec.ExpectedRunTime = true, 0
 	world.Submit(spec, 0, false)
@@ -102,7 +102,7 @@
 // machines of both shards. It guards against a transfer that lets the team exceed the limit: the
 // next job of the team waits for quota and must get no machine.
 func TestFreeCapacityAtQuotaLimit(t *testing.T) {
-	world := bigMachines(7, 2)
+	world := newBigMachinesWorld(7, 2)
 	world.Submit(longJob("job-000001", 10), time.Hour, false)
 	world.Run(time.Minute)
 	world.Submit(labJob("job-000002", 1, 32), time.Hour, false)
@@ -174,9 +174,9 @@
 	"writes delayed":      func(world *World) { world.DelayWrites(0.5, 5*time.Second) },
 }
 
-// transferMoments returns the times after the submission of a job at which a test injects a fault. They
+// transferFaultTimes returns the times after the submission of a job at which a test injects a fault. They
 // range from before the transfer of the machine for that job until after it.
-func transferMoments() []time.Duration {
+func transferFaultTimes() []time.Duration {
 	if raceEnabled || testing.Short() {
 		return []time.Duration{44 * time.Second, 47 * time.Second, 49 * time.Second}
 	}
@@ -187,14 +187,14 @@
 	return out
 }
 
-// TestFaultsDuringTransfer injects each of the transferFaults at each of the transferMoments. It guards
+// TestFaultsDuringTransfer injects each of the transferFaults at each of the transferFaultTimes. It guards
 // against a fault that makes the waiting job wait too long, or restarts the tasks that run on the machine.
 func TestFaultsDuringTransfer(t *testing.T) {
 	for _, name := range sortedKeys(transferFaults) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for _, at := range transferMoments() {
-				world := bigMachines(3, 1)
+			for _, at := range transferFaultTimes() {
+				world := newBigMachinesWorld(3, 1)
 				world.Submit(longJob("job-000001", 10), time.Hour, false)
 				world.Run(time.Minute)
 				world.Submit(labJob("job-000002", 2, 8), time.Hour, false)
@@ -221,8 +221,8 @@
 	for _, state := range []string{"working", "hung", "heartbeats lost", "unreachable"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
-			for _, at := range transferMoments() {
-				world := bigMachines(3, 1)
+			for _, at := range transferFaultTimes() {
+				world := newBigMachinesWorld(3, 1)
 				world.Submit(longJob("job-000001", 10), time.Hour, false)
 				world.Run(time.Minute)
 				world.Submit(labJob("job-000002", 2, 8), time.Hour, false)
@@ -232,7 +232,7 @@
 				case "hung":
 					machine.hungUntil = world.now.Add(15 * time.Second)
 				case "heartbeats lost":
-					world.MakeUnheard([]string{machine.ID}, 15*time.Second)
+					world.MuteMachines([]string{machine.ID}, 15*time.Second)
 				case "unreachable":
 					world.MakeUnreachable([]string{machine.ID}, 15*time.Second, true)
 				}
--- a/internal/simulation/unlisted_faults.go
+++ b/internal/simulation/unlisted_faults.go
@@ -127,9 +127,9 @@
 	case "slow_answers":
 		world.disturbances.slowAnswersUntil, world.disturbances.answerDelay = world.now.Add(fault.Duration), 700*time.Millisecond
 	case "lazy":
-		world.forSample(fault.Fraction, rng, func(machine *Worker) { machine.ignoresStarts = true })
+		world.forEachSampled(fault.Fraction, rng, func(machine *Worker) { machine.ignoresStarts = true })
 	case "faulty":
-		world.forSample(fault.Fraction, rng, func(machine *Worker) { machine.faulty = true })
+		world.forEachSampled(fault.Fraction, rng, func(machine *Worker) { machine.faulty = true })
 	case "capacity":
 		for _, k := range sortedKeys(world.cloudCapacity) {
 			gone := int(float64(world.cloudCapacity[k]) * (1 - fault.Fraction))
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -39,23 +39,23 @@
 	// revision of this promise.
 	promised        time.Duration
 	promiseRevision int
-	// promisedAtFirst says that the first answer had a promised date.
-	promisedAtFirst bool
+	// promisedInFirstAnswer says that the first answer had a promised date.
+	promisedInFirstAnswer bool
 	// cancelledAt is the time when a controller sent the first answer that says that the job is
 	// cancelled. From then on the rules for cancelled jobs apply, even if that answer arrives late
 	// or never.
 	cancelledAt time.Time
-	// answeredAt is the time of the last answer about the job. silenceReported says that it was
+	// answeredAt is the time of the last answer about the job. unansweredReported says that it was
 	// reported that the job's queries were unanswered for too long.
-	answeredAt      time.Time
-	silenceReported bool
+	answeredAt         time.Time
+	unansweredReported bool
 	// placedAt is the time when a machine last accepted an attempt of the job. waitingSince is the
 	// time since which a task waits while there is free capacity for it. waitReported says that it
 	// was reported that the wait was too long.
 	placedAt, waitingSince time.Time
 	waitReported           bool
 	// replicas are the replicas of a long-running job by index.
-	replicas map[int]*replica
+	replicas map[int]*replicaHistory
 	// dependencies are the jobs that this job depends on. dependents are the jobs that depend on
 	// this job.
 	dependencies, dependents []*userJob
@@ -84,7 +84,7 @@
 
 // newUserJob returns a job that has not been submitted.
 func newUserJob(spec model.JobSpec, run time.Duration) *userJob {
-	return &userJob{spec: spec, run: run, doneTasks: map[int]bool{}, checkpoints: map[int]time.Duration{}, machines: map[int][]*Worker{}, firstStarts: map[int]time.Time{}, replicas: map[int]*replica{},
+	return &userJob{spec: spec, run: run, doneTasks: map[int]bool{}, checkpoints: map[int]time.Duration{}, machines: map[int][]*Worker{}, firstStarts: map[int]time.Time{}, replicas: map[int]*replicaHistory{},
 		hooks: map[milestone][]func(){}}
 }
 
@@ -153,17 +153,17 @@
 		switch {
 		case reply != nil && (reply.Status == http.StatusCreated || reply.Status == http.StatusOK):
 			if job.invalid {
-				world.violate("accepted_wrongly", "%s needs %v", job.spec.ID, job.spec.Dependencies)
+				world.reportViolation("accepted_wrongly", "%s needs %v", job.spec.ID, job.spec.Dependencies)
 			}
 			world.checkAnswer(job, requestedAt, reply)
 			world.schedule(world.jitter(5*time.Second), func() { world.poll(job) })
 		case reply != nil && (reply.Status == http.StatusBadRequest || reply.Status == http.StatusUnprocessableEntity):
 			job.refusedStatus = reply.Status
 			if job.accepted {
-				world.violate("forgotten", "%s answered %d", job.spec.ID, reply.Status)
+				world.reportViolation("forgotten", "%s answered %d", job.spec.ID, reply.Status)
 			}
 			if job.dependenciesAccepted && !job.invalid {
-				world.violate("refused_wrongly", "%s, which needs %v, answered %d: %s", job.spec.ID, job.spec.Dependencies, reply.Status, reply.Message)
+				world.reportViolation("refused_wrongly", "%s, which needs %v, answered %d: %s", job.spec.ID, job.spec.Dependencies, reply.Status, reply.Message)
 			}
 		default:
 			world.schedule(world.jitter(time.Second), func() { world.trySubmit(job) })
@@ -210,7 +210,7 @@
 func (world *World) QueryUnknownJob(id string) {
 	world.userRequest(func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} }, 2*time.Second, func(reply *message.UserReply) {
 		if reply != nil && reply.Status == http.StatusOK {
-			world.violate("invented", "%s", id)
+			world.reportViolation("invented", "%s", id)
 		}
 	})
 }
@@ -221,11 +221,11 @@
 	id := job.spec.ID
 	if reply.Status == http.StatusNotFound {
 		if job.accepted {
-			world.violate("forgotten", "%s answered 404", id)
+			world.reportViolation("forgotten", "%s answered 404", id)
 		}
 		return
 	}
-	job.promisedAtFirst = job.promisedAtFirst || !job.accepted && reply.PromiseRevision > 0
+	job.promisedInFirstAnswer = job.promisedInFirstAnswer || !job.accepted && reply.PromiseRevision > 0
 	world.checkPollsAnswered(job)
 	world.checkOrphan(job, reply)
 	isNew := !job.accepted || isFinal(reply.State) && job.lastState != reply.State
@@ -234,7 +234,7 @@
 		// The answer to a cancellation may overtake the answer to a query, so revisions are
 		// compared only before the user cancels.
 		if reply.PromiseRevision < job.promiseRevision && !job.cancelRequested || reply.PromiseRevision == job.promiseRevision && reply.PromisedAfter != job.promised {
-			world.violate("older_date", "%s was promised %v as revision %d, then %v as %d", id, job.promised, job.promiseRevision, reply.PromisedAfter, reply.PromiseRevision)
+			world.reportViolation("older_date", "%s was promised %v as revision %d, then %v as %d", id, job.promised, job.promiseRevision, reply.PromisedAfter, reply.PromiseRevision)
 		}
 		if reply.PromiseRevision >= job.promiseRevision {
 			job.promiseRevision, job.promised = reply.PromiseRevision, reply.PromisedAfter
@@ -245,13 +245,13 @@
 		// Users send several requests at a time. Another controller may answer an older state if
 		// the request was sent before the user knew the final state.
 		if !requestedAt.Before(job.lastStateAt) {
-			world.violate("went_back", "%s was %s, is called %s", id, job.lastState, reply.State)
+			world.reportViolation("went_back", "%s was %s, is called %s", id, job.lastState, reply.State)
 		}
 		return
 	case reply.State == "done" && len(job.doneTasks) < job.spec.Tasks:
-		world.violate("not_done", "%s with %d of %d", id, len(job.doneTasks), job.spec.Tasks)
+		world.reportViolation("not_done", "%s with %d of %d", id, len(job.doneTasks), job.spec.Tasks)
 	case reply.State == "cancelled" && !job.isCancelled():
-		world.violate("went_back", "%s cancelled by nobody", id)
+		world.reportViolation("went_back", "%s cancelled by nobody", id)
 	}
 	if job.lastState != reply.State {
 		job.lastState, job.lastStateAt = reply.State, world.now
@@ -282,29 +282,29 @@
 			return
 		}
 		if otherTask.index == task.index {
-			world.violate("ran_twice", "%s on %s and %s", name, machine.ID, otherMachine.ID)
+			world.reportViolation("ran_twice", "%s on %s and %s", name, machine.ID, otherMachine.ID)
 		}
 		zones[otherMachine.Zone]++
 	}, task.index)
 	team := world.team(spec.Team)
 	if usage := world.teamUsage[spec.Team]; team.QuotaLimit.CPU > 0 && usage.CPU > team.QuotaLimit.CPU+1e-6 || team.QuotaLimit.GPU > 0 && usage.GPU > team.QuotaLimit.GPU+1e-6 {
-		world.violate("quota", "%s uses %v", spec.Team, usage)
+		world.reportViolation("quota", "%s uses %v", spec.Team, usage)
 	}
 	if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, machine.MachineType) || spec.Zone != "" && spec.Zone != machine.Zone || machine.Spot && !spec.AllowSpot {
-		world.violate("wrong_place", "%s on %s", name, machine.ID)
+		world.reportViolation("wrong_place", "%s on %s", name, machine.ID)
 	}
 	if spec.SameZone && len(zones) > 0 && zones[machine.Zone] == 0 {
-		world.violate("wrong_place", "%s not with the others", name)
+		world.reportViolation("wrong_place", "%s not with the others", name)
 	}
 	if spec.SpreadZones && zones[machine.Zone]+1 > (spec.Tasks+1)/2 {
-		world.violate("wrong_place", "%s too many in %s", name, machine.Zone)
+		world.reportViolation("wrong_place", "%s too many in %s", name, machine.Zone)
 	}
 	if !job.cancelledAt.IsZero() {
 		world.StartsAfterCancel++
 		world.recordMargin(RuleCancelled, world.cancelWithin-world.now.Sub(job.cancelledAt), machine.ID+" "+name)
 	}
 	if world.isCancelOverdue(job) {
-		world.violate("ran_cancelled", "%s started", name)
+		world.reportViolation("ran_cancelled", "%s started", name)
 	}
 }
 
@@ -373,7 +373,7 @@
 		size += len(command.Job) + commandBytes
 	}
 	if size > maxBodyBytes {
-		world.violate("malformed", "an answer to a worker of %d bytes", size)
+		world.reportViolation("malformed", "an answer to a worker of %d bytes", size)
 	}
 }
 
@@ -401,7 +401,7 @@
 			world.recordMargin(RuleCancelled, world.cancelWithin-world.now.Sub(since), machine.ID+" "+task.job.spec.ID)
 			if world.isCancelOverdue(task.job) {
 				task.violationReported = true
-				world.violate("ran_cancelled", "%s on %s", taskName(task.job.spec.ID, task.index), machine.ID)
+				world.reportViolation("ran_cancelled", "%s on %s", taskName(task.job.spec.ID, task.index), machine.ID)
 			}
 		}
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -63,8 +63,8 @@
 	// holdWhileUnreachable the messages are delivered afterwards, otherwise they are lost.
 	unreachableUntil     time.Time
 	holdWhileUnreachable bool
-	// unheardUntil is the time until which the machine's heartbeats reach no controller.
-	unheardUntil time.Time
+	// mutedUntil is the time until which the machine's heartbeats reach no controller.
+	mutedUntil time.Time
 	// recentFree is the free capacity at each of the last checks for waiting jobs; see resourceUse.
 	recentFree []model.Resources
 
@@ -314,12 +314,12 @@
 			world.tryNextController(machine, to)
 		}
 	})
-	if world.now.Before(machine.unheardUntil) {
+	if world.now.Before(machine.mutedUntil) {
 		// The worker can't open a connection, so not even a late copy of the heartbeat arrives.
 		return
 	}
 	process := world.controllers[to]
-	world.copyHeartbeat(heartbeat)
+	world.maybeCopyHeartbeat(heartbeat)
 	if world.duplicateRate > 0 && world.rng.Float64() < world.duplicateRate {
 		world.schedule(world.randomDelay(), func() {
 			world.sendMessage(machine.ID, process.name, func() { process.deliverHeartbeat(heartbeat, func(message.Effect) {}) })
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -235,8 +235,8 @@
 	world.now = end
 }
 
-// violate records a violation of a rule, unless maxViolations are recorded already.
-func (world *World) violate(rule, format string, args ...any) {
+// reportViolation records a violation of a rule, unless maxViolations are recorded already.
+func (world *World) reportViolation(rule, format string, args ...any) {
 	if len(world.Violations) >= maxViolations {
 		return
 	}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -49,7 +49,7 @@
 		if body != nil {
 			sent = append(sent, encodeSorted(t, body)...)
 		}
-		testgolden.Same(t, "request-"+name, sent)
+		testgolden.CheckBytes(t, "request-"+name, sent)
 	}
 }
 
@@ -70,7 +70,7 @@
 	testgolden.Check(t, codec, values)
 	_, _, body := encodeRequest(message.StoreRequest{Kind: message.OpTxn, Compares: []message.Compare{{Key: "ctl/lead", ModRevision: 411}}, Writes: []message.Write{{Key: "open/job-000412"}}})
 	values["request"] = body
-	testgolden.Full(t, values)
+	testgolden.CheckCoverage(t, values)
 
 	var reply response
 	if err := codec.Read(testgolden.Bytes(t, "response"), &reply); err != nil {
--- a/internal/testgolden/testgolden.go
+++ b/internal/testgolden/testgolden.go
@@ -57,22 +57,22 @@
 func Check(t *testing.T, codec Codec, values Values) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(values)) {
-		check(t, codec, name, values[name])
+		checkValue(t, codec, name, values[name])
 		if !codec.Strict {
-			check(t, codec, name+".zero", reflect.Zero(reflect.TypeOf(values[name])).Interface())
+			checkValue(t, codec, name+".zero", reflect.Zero(reflect.TypeOf(values[name])).Interface())
 		}
 	}
 }
 
-// check is Check for one value.
-func check(t *testing.T, codec Codec, name string, v any) {
+// checkValue is Check for one value.
+func checkValue(t *testing.T, codec Codec, name string, v any) {
 	t.Helper()
 	b, err := codec.Write(v)
 	if err != nil {
 		t.Errorf("%s: encode: got error %v, want none", name, err)
 		return
 	}
-	Same(t, name, b)
+	CheckBytes(t, name, b)
 	golden := Bytes(t, name)
 	into := reflect.New(reflect.TypeOf(v))
 	if err := codec.Read(golden, into.Interface()); err != nil {
@@ -88,34 +88,34 @@
 		t.Errorf("%s: encode decoded value: got error %v, want none", name, err)
 		return
 	}
-	Still(t, name, again)
+	CheckUnchanged(t, name, again)
 }
 
-// file returns the path of the golden file with a name.
-func file(name string) string { return filepath.Join("testdata", "golden", name+".hex") }
+// goldenPath returns the path of the golden file with a name.
+func goldenPath(name string) string { return filepath.Join("testdata", "golden", name+".hex") }
 
-// Same checks that b equals the golden bytes of a name. With -update it first rewrites the golden
+// CheckBytes checks that b equals the golden bytes of a name. With -update it first rewrites the golden
 // file.
-func Same(t *testing.T, name string, b []byte) {
+func CheckBytes(t *testing.T, name string, b []byte) {
 	t.Helper()
 	if *update {
 		var text strings.Builder
 		for line := range slices.Chunk(b, lineBytes) {
 			text.WriteString(hex.EncodeToString(line) + "\n")
 		}
-		if err := os.MkdirAll(filepath.Dir(file(name)), 0o755); err != nil {
+		if err := os.MkdirAll(filepath.Dir(goldenPath(name)), 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(file(name), []byte(text.String()), 0o644); err != nil {
+		if err := os.WriteFile(goldenPath(name), []byte(text.String()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	Still(t, name, b)
+	CheckUnchanged(t, name, b)
 }
 
-// Still checks that b equals the golden bytes of a name and never rewrites the golden file. It is
+// CheckUnchanged checks that b equals the golden bytes of a name and never rewrites the golden file. It is
 // meant for values that were decoded from the golden bytes and encoded again.
-func Still(t *testing.T, name string, b []byte) {
+func CheckUnchanged(t *testing.T, name string, b []byte) {
 	t.Helper()
 	if golden := Bytes(t, name); !bytes.Equal(b, golden) {
 		t.Errorf("%s: encoded: got\n%x\nwant\n%x", name, b, golden)
@@ -125,7 +125,7 @@
 // Bytes returns the golden bytes of a name.
 func Bytes(t *testing.T, name string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(file(name))
+	text, err := os.ReadFile(goldenPath(name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,12 +136,12 @@
 	return b
 }
 
-// Full checks that the values cover all encoded types and fields. It fails for a field that no
+// CheckCoverage checks that the values cover all encoded types and fields. It fails for a field that no
 // value sets, for two fields of the same type that are equal in a value, since confusing them would
 // not be noticed, and for a type of the package with MessagePack tags of which there is no value.
-func Full(t *testing.T, values Values) {
+func CheckCoverage(t *testing.T, values Values) {
 	t.Helper()
-	w := walker{t, map[reflect.Type][]bool{}}
+	w := fieldWalker{t, map[reflect.Type][]bool{}}
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		w.walk(name, reflect.ValueOf(values[name]))
 	}
@@ -154,22 +154,22 @@
 			}
 		}
 	}
-	for _, name := range tagged(t) {
+	for _, name := range taggedTypes(t) {
 		if !known[name] {
 			t.Errorf("got no value of %s, want one", name)
 		}
 	}
 }
 
-// walker records which fields the values set. set is indexed by struct type and field index.
-type walker struct {
+// fieldWalker records which fields the values set. set is indexed by struct type and field index.
+type fieldWalker struct {
 	t   *testing.T
 	set map[reflect.Type][]bool
 }
 
 // walk records the fields that v and the values in it set. at is the path of v for failure
 // messages.
-func (w *walker) walk(at string, v reflect.Value) {
+func (w *fieldWalker) walk(at string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
 		if !v.IsNil() {
@@ -190,7 +190,7 @@
 
 // fields records the fields that the struct v sets, and fails for equal values in fields of the
 // same type.
-func (w *walker) fields(at string, v reflect.Value) {
+func (w *fieldWalker) fields(at string, v reflect.Value) {
 	w.t.Helper()
 	typ := v.Type()
 	if typ == reflect.TypeFor[time.Time]() {
@@ -200,13 +200,13 @@
 		w.set[typ] = make([]bool, typ.NumField())
 	}
 	for i := range typ.NumField() {
-		if !typ.Field(i).IsExported() || empty(v.Field(i)) {
+		if !typ.Field(i).IsExported() || isUnset(v.Field(i)) {
 			continue
 		}
 		w.set[typ][i] = true
 		here := at + "." + typ.Field(i).Name
 		for k := range i {
-			if a, b := v.Field(k), v.Field(i); a.Type() == b.Type() && !yesNo(a.Type()) && typ.Field(k).IsExported() && reflect.DeepEqual(a.Interface(), b.Interface()) {
+			if a, b := v.Field(k), v.Field(i); a.Type() == b.Type() && !hasFewValues(a.Type()) && typ.Field(k).IsExported() && reflect.DeepEqual(a.Interface(), b.Interface()) {
 				w.t.Errorf("%s: got the value of %s, want a distinct one", here, typ.Field(k).Name)
 			}
 		}
@@ -214,23 +214,23 @@
 	}
 }
 
-// yesNo reports whether a type has too few values for each field to have a distinct one.
-func yesNo(t reflect.Type) bool {
+// hasFewValues reports whether a type has too few values for each field to have a distinct one.
+func hasFewValues(t reflect.Type) bool {
 	return t.Kind() == reflect.Bool || t.Kind() == reflect.Pointer && t.Elem().Kind() == reflect.Bool
 }
 
-// empty reports whether a field counts as not set: a zero value, or a slice or map without
+// isUnset reports whether a field counts as not set: a zero value, or a slice or map without
 // elements.
-func empty(v reflect.Value) bool {
+func isUnset(v reflect.Value) bool {
 	if v.Kind() == reflect.Slice || v.Kind() == reflect.Map {
 		return v.Len() == 0
 	}
 	return v.IsZero()
 }
 
-// tagged returns the names of the types with MessagePack tags in the package under test, as
+// taggedTypes returns the names of the types with MessagePack tags in the package under test, as
 // package.Type.
-func tagged(t *testing.T) []string {
+func taggedTypes(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -259,9 +259,9 @@
 	return out
 }
 
-// FullProto checks that every field of the messages of a protobuf file is set in at least one of
+// CheckProtoCoverage checks that every field of the messages of a protobuf file is set in at least one of
 // ms.
-func FullProto(t *testing.T, file protoreflect.FileDescriptor, ms ...proto.Message) {
+func CheckProtoCoverage(t *testing.T, file protoreflect.FileDescriptor, ms ...proto.Message) {
 	t.Helper()
 	set := map[protoreflect.FullName]bool{}
 	for _, m := range ms {
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -31,7 +31,7 @@
 		})},
 	}
 	testgolden.Check(t, testgolden.Msgpack, wire)
-	testgolden.Full(t, wire)
+	testgolden.CheckCoverage(t, wire)
 
 	var decoded Heartbeat
 	if err := testgolden.Msgpack.Read(testgolden.Bytes(t, "heartbeat"), &decoded); err != nil {
