--- a/internal/api/conns.go
+++ b/internal/api/conns.go
@@ -46,8 +46,8 @@
 type trackedConn struct {
 	// isWorker is whether the connection has carried a heartbeat.
 	isWorker bool
-	// idleElement is the connection's element of idleList. It is nil while a request is in
-	// progress.
+	// idleList is the list that contains the connection while no request is in progress, and
+	// idleElement its element there. idleElement is nil while a request is in progress.
 	idleList    *list.List
 	idleElement *list.Element
 }
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -88,7 +88,7 @@
 	Lend   bool `toml:"lend"`
 	Borrow bool `toml:"borrow"`
 	// ReportS is the interval of heartbeats to peers. LeaseS is how long a peer may run this
-	// cluster's jobs without a response from this cluster. Both are in seconds.
+	// cluster's jobs without a reply from this cluster. Both are in seconds.
 	ReportS float64 `toml:"report_s" validate:"gte=0.5,lte=60"`
 	LeaseS  float64 `toml:"lease_s" validate:"gte=5,lte=600,gtfield=ReportS"`
 	// MaxLoansOut is the maximum number of loans to one peer, MaxLoansIn the maximum number of
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -58,7 +58,7 @@
 }
 
 // Limits bound the transfers and scale-outs of one call of Match, and the machines in one scale-out.
-// IsBusy reports whether a kind can't be rented for a host at present; nil means that all kinds can.
+// IsBusy reports whether a kind can't be rented for a host now; nil means that all kinds can.
 type Limits struct {
 	MaxTransfers   int
 	MaxScaleOuts   int
--- a/internal/exchange/transfer.go
+++ b/internal/exchange/transfer.go
@@ -27,8 +27,8 @@
 	// to leave time within the bound on waiting for the decision and the start.
 	MinOwnership = 20 * time.Second
 	// PrecedenceWait is the wait from which on a requesting job takes precedence over those waiting tasks of
-	// the machine's owner for which the machine has no free capacity at present. Below PrecedenceWait, the
-	// longer wait takes precedence.
+	// the machine's owner for which the machine has no free capacity. Below PrecedenceWait, the longer
+	// wait takes precedence.
 	PrecedenceWait = time.Minute
 )
 
@@ -69,8 +69,8 @@
 
 // yieldsTo reports whether the machine may be offered for the request although the task of the machine's
 // owner waits. It may if the task can't use the machine even when the machine is empty. It also may if the
-// task doesn't fit into the free capacity at present, and the requesting job has waited for PrecedenceWait or for
-// longer than the task. size is the size of the machine.
+// task doesn't fit into the free capacity, and the requesting job has waited for PrecedenceWait or for longer
+// than the task. size is the size of the machine.
 func (task *WaitingTask) yieldsTo(request *TransferRequest, offer *TransferOffer, size resource.Resources) bool {
 	switch {
 	case !slices.Contains(task.Kinds, offer.Kind) || !task.Need.Fits(size):
--- a/internal/faultattribution/tracker.go
+++ b/internal/faultattribution/tracker.go
@@ -23,10 +23,9 @@
 	machineFaultJobs = 2
 	// minBackoff is how long a job that fails everywhere waits before one of its tasks is
 	// retried. The wait doubles with each failure up to maxBackoff. The job is never given up:
-	// its user may repair what it depends on, and only its user may end it.
-	// A job that has met only faulty machines so far also backs off, although a healthy machine
-	// may be free. Operators allow such a wait of 90 s. maxBackoff plus a quarter for the
-	// jitter is 75 s.
+	// its user may repair what it depends on, and only its user may end it. A job that has met
+	// only faulty machines so far also backs off, although a healthy machine may be free.
+	// Operators allow such a wait of 90 s. maxBackoff plus a quarter for the jitter is 75 s.
 	minBackoff = 2 * time.Second
 	maxBackoff = time.Minute
 	// A task shows that its job may work on its machine when it has run outlastFactor times as
@@ -56,7 +55,8 @@
 	failedMachines     []string
 	taskFailedMachines map[int][]string
 	// hasSucceeded: some task of the job has succeeded. failures counts the job's failures while
-	// the job fails everywhere, including the one from which on it does.
+	// the job fails everywhere, starting with the failure on the last of jobFaultMachines
+	// machines.
 	hasSucceeded bool
 	failures     int
 	// longestFailure is the run time of the job's longest failed attempt.
--- a/internal/message/cloud.go
+++ b/internal/message/cloud.go
@@ -12,7 +12,7 @@
 // The outcomes of cloud requests.
 const (
 	CloudOK CloudStatus = iota
-	// CloudNoCapacity means that the cloud has no machine of the requested kind at present.
+	// CloudNoCapacity means that the cloud has no free machine of the requested kind.
 	CloudNoCapacity
 	// CloudRefused means that the request was certainly not executed.
 	CloudRefused
--- a/internal/message/peer.go
+++ b/internal/message/peer.go
@@ -42,7 +42,7 @@
 	// IsCapacityRequest is true if the sender, as a shard leader, sends its requests to the
 	// leader. The fields from here to Offers then apply even where they are empty.
 	IsCapacityRequest bool
-	// Surplus are the IDs of machines that the sender does not need at present.
+	// Surplus are the IDs of machines that the sender does not need.
 	Surplus []string
 	// Seq is the sequence number of a leader update. In a leader update, Seq is its own number;
 	// in a capacity request, Seq is that of the newest leader update that the sender has applied.
@@ -65,7 +65,7 @@
 	// RentalUpdates are rented machines of the receiver. They include all that have changed since
 	// the Seq of the receiver's newest capacity request.
 	RentalUpdates []RentalUpdate
-	// Blocked are the kinds of machines for which the cloud has no capacity at present.
+	// Blocked are the kinds of machines for which the cloud has no capacity.
 	Blocked []CapacityRequest
 	// TeamRelease are the teams that are to move to another shard.
 	TeamRelease []sharding.MoveRequest
--- a/internal/message/status.go
+++ b/internal/message/status.go
@@ -172,6 +172,6 @@
 	// EmptyMachines does not count.
 	FreeGPUs       float64 `json:"free_gpus"`
 	FragmentedGPUs float64 `json:"gpus_in_pieces"`
-	// LargestReplicaGPUs is the largest number of GPUs that one replica could use at present.
+	// LargestReplicaGPUs is the largest number of GPUs that one replica could use now.
 	LargestReplicaGPUs float64 `json:"largest_replica_gpus"`
 }
--- a/internal/message/store.go
+++ b/internal/message/store.go
@@ -55,7 +55,7 @@
 const (
 	// PriorityMembership is for the membership lease and for the records that all controllers watch.
 	PriorityMembership Priority = iota
-	// PriorityUser is for requests on which a user waits.
+	// PriorityUser is for requests for which a user waits.
 	PriorityUser
 	// PriorityStart is for the starts of tasks and for other requests that jobs depend on.
 	PriorityStart
--- a/internal/migration/record.go
+++ b/internal/migration/record.go
@@ -71,7 +71,7 @@
 	return resource.Resources{CPU: amounts[0], GPU: amounts[1], Memory: amounts[2]}
 }
 
-// record returns the record of a team's present plans and cooldowns.
+// record returns the record of a team's current plans and cooldowns.
 func (tracker *Tracker) record(team string) record {
 	rec := record{Version: formatVersion}
 	for _, plan := range tracker.plans {
@@ -342,8 +342,8 @@
 // isName reports whether s may be the ID of a job or a machine.
 func isName(s string) bool { return s != "" && len(s) <= sizelimit.MaxKeyBytes }
 
-// isValidNeed reports whether the amounts are a valid need of CPU, GPU and memory: three amounts from 0 to 1e9 that
-// are not all 0.
+// isValidNeed reports whether the amounts are a valid need of CPU, GPU and memory: three amounts from 0 to
+// 1e9 that are not all 0.
 func isValidNeed(amounts []float64) bool {
 	return len(amounts) == 3 && !slices.ContainsFunc(amounts, func(amount float64) bool { return !(amount >= 0 && amount <= 1e9) }) && amounts[0]+amounts[1]+amounts[2] > 0
 }
--- a/internal/overflow/borrower.go
+++ b/internal/overflow/borrower.go
@@ -9,8 +9,9 @@
 // startMargin is the last part of a lease, in which no task is started under it.
 const startMargin = 500 * time.Millisecond
 
-// BorrowerView is the durable state of the borrowing side, as the leader of the
-// offloaded jobs' team knows it.
+// BorrowerView is the durable state of the borrowing side, as the shard leader of the
+// offloaded jobs' team knows it. In the comments on the borrowing side, the leader is
+// this shard leader.
 type BorrowerView struct {
 	// Epoch is the epoch of the leader that decides.
 	Epoch        uint64
--- a/internal/overflow/broker/metrics.go
+++ b/internal/overflow/broker/metrics.go
@@ -18,7 +18,7 @@
 	ends         *prometheus.CounterVec
 }
 
-// NewMetrics creates the metrics and registers them with reg.
+// NewMetrics creates the metrics and registers them with registerer.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	opts := func(name, help string) prometheus.Opts {
 		return prometheus.Opts{Namespace: "micahill", Subsystem: "overflow", Name: name, Help: help}
--- a/internal/overflow/peer.go
+++ b/internal/overflow/peer.go
@@ -53,8 +53,8 @@
 // controllers the next heartbeat is sent. It isn't safe for concurrent use.
 type PeerTracker struct {
 	Name string
-	// addrs are the addresses of the peer's controllers. addrIndex modulo their number
-	// is the one that heartbeats go to.
+	// addrs are the addresses of the peer's controllers. Heartbeats go to the address whose
+	// index is addrIndex modulo the number of addresses.
 	addrs     []string
 	addrIndex int
 	// interval is the heartbeat interval. The peer is assumed to use the same one.
--- a/internal/overflow/types.go
+++ b/internal/overflow/types.go
@@ -9,10 +9,10 @@
 // moment; the loss only delays decisions.
 //
 // The lender is the job's home cluster; the borrower runs the job on its own
-// capacity. Between them the protocol is the one between a machine's owner and a
-// worker: the borrower sends heartbeats, the lender replies with commands, and a
-// lease runs from the sending time of the last heartbeat that was answered.
-// docs/overflow.md explains why this is safe.
+// capacity. They use the protocol between a machine's owner and a worker: the
+// borrower sends heartbeats, the lender replies with commands, and a lease runs from
+// the sending time of the last heartbeat that was answered. docs/overflow.md explains
+// why this is safe.
 package overflow
 
 import (
@@ -110,7 +110,8 @@
 type Heartbeat struct {
 	// From is the borrower's cluster name.
 	From string
-	// Epoch is the epoch of the borrower's leader. Each new leader has a higher one.
+	// Epoch is the epoch of the shard leader of the borrower's team of offloaded jobs,
+	// which sends the heartbeat. Each new shard leader of the team has a higher epoch.
 	Epoch    uint64
 	Sequence uint64
 	// HomeEpoch is the lender's highest epoch that the borrower has seen. The absence
--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -3,7 +3,7 @@
 // rated by the tasks of the usual sizes that no longer fit on the machine after it, and an empty machine
 // stays empty while other machines have free capacity. Ratings are in seconds: the time for the image
 // fetch and restart when a replica is moved away again. Fetch times and fragmentation can therefore be
-// added to one rating. The usual sizes follow from the present tasks; the package knows no workload by
+// added to one rating. The usual sizes follow from the current tasks; the package knows no workload by
 // name.
 package packing
 
@@ -17,8 +17,9 @@
 )
 
 const (
-	// maxSizes is the largest number of sizes by which a placement is rated. Sizes with waiting
-	// tasks come first, then those whose tasks need the most GPUs in total.
+	// maxSizes is the largest number of task sizes by which a placement is rated. Sizes with
+	// waiting tasks come first, then those whose tasks need the most GPUs in total. The size of a
+	// whole machine is added if it is not among them.
 	maxSizes = 8
 	// migrationOverhead is how long a migration takes besides the image fetch: the write of its
 	// record, the stop of the task until the stop is confirmed, and the start.
--- a/internal/pipeline/names.go
+++ b/internal/pipeline/names.go
@@ -58,7 +58,7 @@
 	return strings.Join(groups, groupMark)
 }
 
-// parseNumbered splits a name that ends in a number. ok is false for any other name.
+// parseNumbered splits a name that ends in a number. It returns false for any other name.
 func parseNumbered(name string) (numberedName, bool) {
 	prefix := strings.TrimRight(name, "0123456789")
 	digits := len(name) - len(prefix)
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -197,8 +197,8 @@
 	return job != nil && job.cancelled
 }
 
-// IsReleased reports whether all dependencies of a job are done. It is true for a job without
-// dependencies.
+// IsReleased reports whether all dependencies of a job are done and the job is not cancelled. It
+// is true for a job without dependencies.
 func (graph *Graph) IsReleased(id string) bool {
 	job := graph.jobs[id]
 	return job == nil || !job.isOpen || job.pending == 0 && !job.cancelled
--- a/internal/promise/page_writer.go
+++ b/internal/promise/page_writer.go
@@ -92,7 +92,7 @@
 	return found
 }
 
-// measure computes size anew.
+// measure recomputes size.
 func (page *page) measure() { page.size = jsonSize(encodePage(page.entries)) }
 
 // remove deletes a job's entry and reduces size accordingly.
@@ -114,7 +114,8 @@
 	return writer.pages[n].entries[job], true
 }
 
-// IsDurable reports whether no entry of the job has yet to be written.
+// IsDurable reports whether the job's entry is durable. It is true for a job without an
+// entry.
 func (writer *PageWriter) IsDurable(job string) bool {
 	n, ok := writer.pageOf[job]
 	return !ok || !writer.pages[n].dirty[job]
--- a/internal/promise/pages.go
+++ b/internal/promise/pages.go
@@ -18,7 +18,7 @@
 // storedEntry is an Entry as stored. MS is the date in milliseconds after the submission,
 // Rev its revision and Why its reason.
 type storedEntry struct {
-	//lint:ignore U1000 its tag has rows stored as lists
+	//lint:ignore U1000 its tag makes the encoder store rows as lists
 	_msgpack struct{} `msgpack:",as_array"`
 	Job      string
 	MS       int
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -55,8 +55,8 @@
 }
 
 // Job has the properties of a job that determine its date. Expected is the estimated run
-// time of a task, and FetchTime the time to fetch its image. Standing says that the job is
-// long-running: its date is when all of its tasks run.
+// time of a task, and FetchTime the time to fetch its image. LongRunning says that the job
+// runs until it is cancelled: its date is when all of its tasks run.
 type Job struct {
 	Team, Class         string
 	Tasks               int
--- a/internal/promise/quotes.go
+++ b/internal/promise/quotes.go
@@ -268,7 +268,7 @@
 // Ratio and Dev, the run ratio and its spread, and the factors F0 to F3 by size are in
 // hundredths; a factor of 0 means that no job of the size was seen.
 type storedClass struct {
-	//lint:ignore U1000 its tag has rows stored as lists
+	//lint:ignore U1000 its tag makes the encoder store rows as lists
 	_msgpack       struct{} `msgpack:",as_array"`
 	Name           string
 	WaitMS, Room   int
--- a/internal/promise/totals.go
+++ b/internal/promise/totals.go
@@ -83,7 +83,7 @@
 
 // storedTotalsRow is a Row as stored. WorstMS is in milliseconds.
 type storedTotalsRow struct {
-	//lint:ignore U1000 its tag has rows stored as lists
+	//lint:ignore U1000 its tag makes the encoder store rows as lists
 	_msgpack                          struct{} `msgpack:",as_array"`
 	Team, Class                       string
 	Jobs, Made, Kept, Broken, Revised int
--- a/internal/selfmonitor/selfmonitor.go
+++ b/internal/selfmonitor/selfmonitor.go
@@ -16,8 +16,8 @@
 	// send them: a lost packet is sent again within it.
 	minSilence = 3 * time.Second
 	// pauseThreshold is the least time for which the controller must not have run to count
-	// as paused. A pause explains missing heartbeats, so the silence is measured anew after
-	// it.
+	// as paused. A pause explains missing heartbeats, so the silence is measured from its
+	// end.
 	pauseThreshold = 1500 * time.Millisecond
 	// minReappearance and maxReappearance bound the gap after which a rerouted machine that
 	// reports here again counts as not served by its owner. After a shorter gap the
--- a/internal/sharding/shard_map.go
+++ b/internal/sharding/shard_map.go
@@ -330,7 +330,7 @@
 	return out
 }
 
-// record returns the shard's stored form, with its present epochs.
+// record returns the shard's stored form, with its current epochs.
 func (shard *Shard) record() shardRecord {
 	rec := shardRecord{Host: shard.Host, Incarnation: shard.Incarnation, Epoch: shard.epoch, Teams: slices.Clone(shard.Teams), CatchAll: shard.CatchAll}
 	if shard.CatchAll {
--- a/internal/state/ratelimiter.go
+++ b/internal/state/ratelimiter.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// shortTimeout is the timeout of requests on whose response somebody waits.
+	// shortTimeout is the timeout of requests for whose response somebody waits.
 	shortTimeout = 1300 * time.Millisecond
 	// longTimeout is the timeout of lists and of requests of priority lazy.
 	longTimeout = 3 * time.Second
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -20,7 +20,7 @@
 const (
 	// dialTimeout and requestTimeout are short, since a request to an unresponsive machine must
 	// not block requests to other machines for long. The controller can send the commands again
-	// in its response to the machine's next heartbeat, a few seconds later. requestTimeout
+	// in its reply to the machine's next heartbeat, a few seconds later. requestTimeout
 	// includes the wait for a slot and the dialing.
 	dialTimeout    = time.Second
 	requestTimeout = 2 * time.Second
