--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -307,7 +307,8 @@
 
 // placeTasks places up to count tasks on a machine, as many as fit at one time. It returns how many
 // it placed, when the task that has to fetch the image starts to run, and how long the fetch takes;
-// the other tasks count as having the image. With fullScan it places one task.
+// the other tasks count as having the image. With fullScan it places one task. If the tasks never fit
+// on the machine, it places none and returns count, so that the caller's loop ends.
 func (sim *simulation) placeTasks(req *placementRequest, simMachine *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
 	start, ok := simMachine.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs)
 	if !ok {
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -21,7 +21,7 @@
 	// shard leader may have a thousand machines to poll.
 	maxContactsInFlight = 48
 	// leaseCheckInterval is the minimum time between two reads of the shard map for an
-	// expired worker lease, if the first read got no answer.
+	// expired worker lease, if the first read got no response.
 	leaseCheckInterval = 2 * time.Second
 	// reclaimNoticeFactor is the factor by which a reclaimed machine may last longer than
 	// announced.
@@ -41,7 +41,8 @@
 	// inheritedMachines are the machines of an earlier leader that are still to be contacted,
 	// those with attempts first.
 	inheritedMachines []*machine
-	// contactsInFlight counts the polls in flight, at most maxContactsInFlight.
+	// contactsInFlight counts the polls and the requests of sendEpoch in flight. contact sends no
+	// poll once the count has reached maxContactsInFlight.
 	contactsInFlight int
 
 	// higherEpochSeen maps each machine whose worker has seen a higher epoch than the one
@@ -53,7 +54,7 @@
 	epochBumpedAt time.Time
 }
 
-// contact polls a machine for its status. The answer contains the worker's incarnation, which
+// contact polls a machine for its status. The reply contains the worker's incarnation, which
 // commands require. The commands that follow carry the current epoch to the worker.
 func (failover *failover) contact(m *machine) {
 	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || failover.now.Sub(m.lastProbedAt) < probeInterval {
@@ -84,7 +85,7 @@
 		}
 		if stopping := m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }); len(stopping) > 0 || m.hasOtherShardsAttempts {
 			// The stop may have been lost, and no heartbeat may follow: a machine that reaches
-			// no controller is only heard of through its answers to polls.
+			// no controller is heard only through its replies to polls.
 			failover.controller.markDispatchPending(m)
 		}
 	})
@@ -230,9 +231,9 @@
 // attempts, perhaps of a former owner.
 func (machine *machine) expectsHeartbeats() bool { return machine.heard || !machine.isEmpty() }
 
-// sinceLastHeartbeat returns how long a machine has sent no heartbeat. Time before this shard leader
-// was ready does not count, nor does time before it owned the machine, which may have come with
-// running tasks.
+// sinceLastHeartbeat returns how long ago a machine last sent a heartbeat under the current epoch or
+// replied to a poll. Time before this shard leader was ready does not count, nor does time before it
+// owned the machine, which may have come with running tasks.
 func (failover *failover) sinceLastHeartbeat(m *machine) time.Duration {
 	return failover.now.Sub(later(later(m.lastHeard, m.ownedSince), failover.controller.shardLeader.readyAt))
 }
--- a/internal/controller/control_records.go
+++ b/internal/controller/control_records.go
@@ -10,7 +10,7 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// loadControlRecords reads ctl/ anew, page by page. A later page may contain later changes, so
+// loadControlRecords reads all of ctl/, page by page. A later page may contain later changes, so
 // the records are complete only when the watch has delivered all changes up to the revision of
 // the last page.
 func (membership *membership) loadControlRecords() {
@@ -65,7 +65,7 @@
 	membership.controller.ranking.noteKnownAsOf(asOf)
 }
 
-// watchControlRecords watches ctl/ from revision on, and watches again after each answer. The
+// watchControlRecords watches ctl/ from revision on, and watches again after each response. The
 // records count as loaded from completeRevision on; until then each watch returns at once with
 // the changes made so far.
 func (membership *membership) watchControlRecords(generation int, completeRevision uint64) {
@@ -98,7 +98,7 @@
 	})
 }
 
-// applyControlUpdates applies the changes that a watch or a read of ctl/ has returned. Answers
+// applyControlUpdates applies the changes that a watch or a read of ctl/ has returned. Responses
 // may overlap; each change is applied once.
 func (membership *membership) applyControlUpdates(response message.StoreResponse) {
 	changed := false
@@ -240,7 +240,7 @@
 		switch response.Status {
 		case message.StoreOK, message.StoreConflict:
 			// The watch delivers the leader record, also if it is this controller's and the
-			// answer to the write was lost.
+			// response to the write was lost.
 		case message.StoreNoLease:
 			membership.leaseLost("lease expired while claiming leadership")
 		default:
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -33,10 +33,10 @@
 	maxBlockingJobs = 10
 )
 
-// dependencyTracker tracks the jobs of a shard leader that depend on other jobs or that other
-// jobs depend on. It is part of a shardLeader, and its methods are called only while that
-// shardLeader is in office. None of its state is stored: the next shard leader derives it from
-// the graph in the watch cache.
+// dependencyTracker tracks the jobs of a shard leader that depend on other jobs or that other jobs
+// depend on. It is part of a shardLeader, and its methods are called only while that shardLeader
+// leads. None of its state is stored: the next shard leader derives it from the graph in the watch
+// cache.
 type dependencyTracker struct {
 	component
 
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -11,11 +11,11 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// evacuation.go lets shard leaders empty hosts for each other. A shard leader with a job that fits on no machine, and
-// for which the cloud refuses machines, publishes the machine kinds that it needs. Other shard leaders publish what
-// emptying a host of these kinds would cost them. The leader asks the shard leader with the lowest cost, which
-// migrates the replicas of the host away. The host is then surplus and is handed over through the shard map, like
-// any surplus host.
+// evacuation.go lets shard leaders empty hosts for each other. A shard leader with a job that fits
+// on no machine, and for which the cloud refuses machines, publishes the machine kinds that it
+// needs. Other shard leaders publish what emptying a host of these kinds would cost them. The
+// leader asks the shard leader with the lowest cost, which migrates the replicas of the host away.
+// The host is then surplus and is handed over through the shard map, like any surplus host.
 
 const (
 	// refusedWindow is how long a machine kind counts as refused by the cloud. It exceeds
@@ -40,15 +40,16 @@
 	maxCostedKinds = 2
 )
 
-// evacuation holds the host needs and evacuation costs that a shard leader publishes, and the needs that it receives
-// from the leader.
+// evacuation holds the host needs and evacuation costs that a shard leader publishes, and the needs
+// that it receives from the leader.
 type evacuation struct {
 	// refusedAt is when the cloud last refused a machine kind.
 	refusedAt map[machineKind]time.Time
 	// needs are the host needs of this shard leader.
 	needs []message.HostNeed
-	// othersNeeds are the host needs of other shard leaders. assigned are the needs for which the leader asks this
-	// shard leader to empty a host. Both were received from the leader at receivedAt.
+	// othersNeeds are the host needs of other shard leaders. assigned are the needs for which the
+	// leader asks this shard leader to empty a host. Both were received from the leader at
+	// receivedAt.
 	othersNeeds, assigned []message.HostNeed
 	receivedAt            time.Time
 	// costs are the costs of emptying hosts for other shard leaders, as computed at costedAt.
@@ -59,8 +60,8 @@
 // isEvacuationHold reports whether the job name of a hold stands for an evacuation for another shard leader.
 func isEvacuationHold(job string) bool { return strings.HasPrefix(job, evacuationPrefix) }
 
-// neededJobSpec returns a job spec that stands for the job that needs the host. It has only the fields that a host
-// need contains.
+// neededJobSpec returns a job spec that stands for the job that needs the host. It has only the
+// fields that a host need contains.
 func neededJobSpec(need *message.HostNeed) model.JobSpec {
 	return model.JobSpec{ID: evacuationPrefix + kindName(neededKind(need)), Workload: need.Workload, Need: need.Need, Urgency: need.Urgency}
 }
@@ -70,16 +71,16 @@
 	return machineKind{need.MachineType, need.Zone, need.Spot}
 }
 
-// receiveHostNeeds stores the host needs of other shard leaders and the needs assigned to this one, as the leader
-// sends them.
+// receiveHostNeeds stores the host needs of other shard leaders and the needs assigned to this one,
+// as the leader sends them.
 func (migrations *migrationManager) receiveHostNeeds(othersNeeds, assigned []message.HostNeed) {
 	if state := migrations.controller.migrations(); state != nil {
 		state.evacuation.othersNeeds, state.evacuation.assigned, state.evacuation.receivedAt = othersNeeds, assigned, migrations.now
 	}
 }
 
-// evacuationRequest returns the assigned host need with the given hold name. It returns nil if the leader has not
-// requested that evacuation within updateTTL.
+// evacuationRequest returns the assigned host need with the given hold name. It returns nil if the
+// leader has not requested that evacuation within updateTTL.
 func (state *migrationState) evacuationRequest(now time.Time, name string) *message.HostNeed {
 	if now.Sub(state.evacuation.receivedAt) > updateTTL {
 		return nil
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// updateHostNeeds computes the machine kinds of which an empty host would help the first job that can't be placed.
-// There are none unless the cloud has refused machines within refusedWindow.
+// updateHostNeeds computes the machine kinds of which an empty host would help the first job that
+// can't be placed. There are none unless the cloud has refused machines within refusedWindow.
 func (migrations *migrationManager) updateHostNeeds(state *migrationState) {
 	evacuation := &state.evacuation
 	view := migrations.controller.shardLeader.fleet.view
@@ -133,8 +134,9 @@
 	}
 }
 
-// firstJobNeedingHost returns the first job in queue order for which migrations within this shard have been tried or
-// can't help, and for which no capacity is free or expected. It returns nil if there is none.
+// firstJobNeedingHost returns the first job in queue order for which migrations within this shard
+// have been tried or can't help, and for which no capacity is free or expected. It returns nil if
+// there is none.
 func (migrations *migrationManager) firstJobNeedingHost(state *migrationState) *job {
 	for _, job := range migrations.controller.shardLeader.scheduler.jobsInQueueOrder() {
 		// Migrations between the machines of this shard are tried first.
@@ -149,7 +151,8 @@
 	return nil
 }
 
-// hasCapacityFor reports whether a task of the job fits on a machine of this shard or a machine for it is expected.
+// hasCapacityFor reports whether a task of the job fits on a machine of this shard or a machine for
+// it is expected.
 func (migrations *migrationManager) hasCapacityFor(job *job) bool {
 	for _, machine := range migrations.controller.shardLeader.machinesByID {
 		if migrations.controller.shardLeader.scheduler.usable(machine) && job.allowsMachine(machine.machineType, machine.zone, machine.spot) && job.zoneAllowed(machine.zone) && job.Need.Fits(machine.free()) {
@@ -164,8 +167,8 @@
 	return false
 }
 
-// planEvacuation starts an evacuation that the leader has requested. If there is none to start, it computes the
-// costs of emptying hosts for other shard leaders.
+// planEvacuation starts an evacuation that the leader has requested. If there is none to start, it
+// computes the costs of emptying hosts for other shard leaders.
 func (migrations *migrationManager) planEvacuation(state *migrationState) {
 	evacuation := &state.evacuation
 	if migrations.now.Sub(evacuation.receivedAt) > updateTTL {
@@ -204,8 +207,8 @@
 	}
 }
 
-// donorTeam returns the team in whose record an evacuation is written: the first ready team, by name, with neither
-// a write in flight nor unsaved plans. It returns "" if there is none.
+// donorTeam returns the team in whose record an evacuation is written: the first ready team, by
+// name, with neither a write in flight nor unsaved plans. It returns "" if there is none.
 func (migrations *migrationManager) donorTeam(state *migrationState) string {
 	for _, team := range sortedKeys(migrations.controller.shardLeader.teams) {
 		if rec := state.records[team]; rec != nil && !rec.writing && len(state.tracker.UnsavedPlans(team)) == 0 && migrations.controller.shardLeader.teams[team].ready {
@@ -215,8 +218,8 @@
 	return ""
 }
 
-// hasEmptyHost reports whether this shard has an empty usable host of a kind. Such a host becomes surplus without an
-// evacuation, unless this shard needs it.
+// hasEmptyHost reports whether this shard has an empty usable host of a kind. Such a host becomes
+// surplus without an evacuation, unless this shard needs it.
 func (migrations *migrationManager) hasEmptyHost(kind machineKind) bool {
 	return slices.ContainsFunc(migrations.controller.shardLeader.machinesByID, func(machine *machine) bool {
 		return (machineKind{machine.machineType, machine.zone, machine.spot}) == kind && machine.isEmpty() && migrations.controller.shardLeader.scheduler.usable(machine)
@@ -245,8 +248,9 @@
 	return out
 }
 
-// assignEvacuations decides which shard leader empties a host for which other shard leader. It returns two maps by
-// the host of the shard leader: the needs of other shard leaders, and the needs assigned to it.
+// assignEvacuations decides which shard leader empties a host for which other shard leader. It
+// returns two maps by the host of the shard leader: the needs of other shard leaders, and the needs
+// assigned to it.
 func (leader *leader) assignEvacuations() (othersNeeds, assigned map[string][]message.HostNeed) {
 	if !leader.settings.Capabilities.Models {
 		return nil, nil
--- a/internal/controller/exchange.go
+++ b/internal/controller/exchange.go
@@ -46,7 +46,8 @@
 	surplus  []string
 }
 
-// fleetRequests returns the requests of all shard leaders whose last update is fresh.
+// fleetRequests returns the requests of all shard leaders whose last update is fresh and was sent
+// after they had received what was last rented for them; see requiredSeq.
 func (leader *leader) fleetRequests() []fleetRequest {
 	var out []fleetRequest
 	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready {
@@ -120,14 +121,14 @@
 	}
 }
 
-// canHandOver reports whether the shard leader on host may hand over a machine at present.
+// canHandOver reports whether the shard leader on host may hand over a machine now.
 func (leader *leader) canHandOver(id, host string) bool {
 	_, assigned := leader.sharding.unrecordedMachines[id]
 	_, recentlyHandedOver := leader.handedOverAt[id]
 	return leader.ownerOf(id) == host && !assigned && !recentlyHandedOver && !leader.controller.knowledge.released[id]
 }
 
-// releaseFor returns to the cloud the machines whose release the shard leader on host requests.
+// releaseFor releases the machines whose release the shard leader on host requests.
 func (leader *leader) releaseFor(host string, ids []string) {
 	var releasable []string
 	for _, id := range ids {
--- a/internal/controller/fleet_knowledge.go
+++ b/internal/controller/fleet_knowledge.go
@@ -18,7 +18,7 @@
 // and what other shard leaders publish. Its methods may be called at any time within Step.
 //
 // It survives the loss of shard leadership, so that a controller that takes over a shard plans
-// with what it learnt before. None of it is stored: after a restart it is learnt anew from the
+// with what it learnt before. None of it is stored: after a restart it is learnt again from the
 // cloud, from heartbeats and from the updates of peers.
 type fleetKnowledge struct {
 	component
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -20,10 +20,10 @@
 // formatMigration has the controllers change to task records with fewer tasks in a segment
 // before the store lowers its limit of value sizes.
 //
-// The previous version of this program numbers segments by the present limit and can't read any
+// The previous version of this program numbers segments by the current limit and can't read any
 // others. So nothing changes until no controller of that version can come back. Each controller
 // that supports sized segments writes a record of its own that says so and outlives the process.
-// Once every controller has written one, which stays true for ever, the leader writes
+// Once every controller has written one, which stays true, the leader writes
 // record.FormatKey. From then on segments are written with their size in the name. Segments of
 // earlier formats are read and never written again: see docs/design.md, "Two versions, and lower
 // limits".
@@ -39,7 +39,7 @@
 	// modRevision is the mod revision of record.FormatKey.
 	current     segmentFormat
 	modRevision uint64
-	// writing is set while a write of one of these records is under way.
+	// writing is set while a write of one of these records is in flight.
 	writing bool
 	// limitsLowered is set when the store was found to enforce its new value limit.
 	// probingLimits is set for malformedRetryDelay after a probe of that limit.
@@ -81,7 +81,7 @@
 	return segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(settings.currentMaxValueBytes())}
 }
 
-// currentFormat returns the format in which task records are written at present.
+// currentFormat returns the format in which task records are written.
 func (formats *formatMigration) currentFormat() segmentFormat {
 	if formats.current.tasksPerSegment > 0 {
 		return formats.current
@@ -121,7 +121,8 @@
 	}
 }
 
-// adoptFormat changes to a sized format that has fewer tasks in a segment than the current one.
+// adoptFormat changes to a sized format if the current format is unsized or has more tasks in a
+// segment.
 // A format that one controller has adopted counts for all, and is never given up.
 func (formats *formatMigration) adoptFormat(format segmentFormat) {
 	if !format.sized || format.tasksPerSegment >= formats.currentFormat().tasksPerSegment && formats.currentFormat().sized {
@@ -138,8 +139,9 @@
 }
 
 // advanceFormat takes the next step of the migration, if one is due. It records that this
-// controller supports sized segments. Once it has, it writes the new format: as the leader when
-// all controllers support it, or as a shard leader when the store has lowered its limit.
+// controller supports sized segments. Once that is recorded, it writes the new format: as the
+// leader when all controllers support it, or as a shard leader when the store has lowered its
+// limit.
 func (formats *formatMigration) advanceFormat() {
 	target := record.MaxTasksPerSegment(formats.settings.MaxValueBytes)
 	if formats.writing || !formats.controller.membership.loaded || formats.controller.membership.leaseID == 0 || target >= formats.currentFormat().tasksPerSegment {
@@ -233,7 +235,7 @@
 	}
 }
 
-// formerSegment returns the present segment of task i, whose state is stored in a record of a
+// formerSegment returns the current segment of task i, whose state is stored in a record of a
 // former format. rankingRevision is that of the former segment.
 func (job *job) formerSegment(i int, rankingRevision uint64) *taskSegment {
 	segment := job.segmentOf(i)
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -77,8 +77,8 @@
 }
 
 // noteAccepted records that a user was told that a job is accepted. The entry is kept for
-// userRequestTimeout, the longest time that a request may still wait whose read of the store was
-// sent before this answer.
+// userRequestTimeout. A request whose read of the store was sent before this answer waits no longer
+// than that.
 func (frontend *frontend) noteAccepted(id string, now time.Time) {
 	for len(frontend.acceptedAnswers) > 0 && now.Sub(frontend.acceptedAnswers[0].answeredAt) > userRequestTimeout {
 		if first := frontend.acceptedAnswers[0]; frontend.acceptedAt[first.id].Equal(first.answeredAt) {
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -24,14 +24,14 @@
 // heartbeatReplyTimeout is how long a worker waits for the reply to a heartbeat.
 const heartbeatReplyTimeout = 4 * time.Second
 
-// supersedes reports whether a message newer than heartbeat has been applied. The epoch that a
+// supersedes reports whether heartbeat or a newer message has been applied. The epoch that a
 // worker has seen never decreases: a copy from before a worker restart may have a higher
 // incarnation, but it cannot have the epoch of a later owner.
 func (machine *machine) supersedes(heartbeat *model.Heartbeat) bool {
 	return heartbeat.Epoch < machine.seenEpoch || heartbeat.Incarnation < machine.incarnation || heartbeat.Incarnation == machine.incarnation && heartbeat.Sequence <= machine.sequence
 }
 
-// handleUnprovenHeartbeat answers a heartbeat that proves nothing about the present state of
+// handleUnprovenHeartbeat answers a heartbeat that proves nothing about the current state of
 // m. It reports whether the heartbeat is of this kind; if not, it does nothing.
 func (tracker *heartbeatTracker) handleUnprovenHeartbeat(m *machine, received *message.WorkerHeartbeat) bool {
 	heartbeat := &received.Heartbeat
@@ -84,7 +84,7 @@
 	taskReports           []model.TaskReport
 }
 
-// snapshot returns what is known of m at this moment.
+// snapshot returns what is known of the machine at this moment.
 func (machine *machine) snapshot() machineSnapshot {
 	return machineSnapshot{machine.heard, machine.incarnation, machine.sequence, machine.seenEpoch, machine.lastTaskReports}
 }
@@ -150,12 +150,12 @@
 // none. It reports whether a valid reply arrived.
 //
 // before is what was known of the machine when the request was sent. A reply that is older
-// than that state shows that the worker has restarted under the same name, without its tasks. No late
-// message can look like that, since the reply answers a request of this controller. A
-// restarted worker has lost its incarnation, epoch and tasks. The tasks that should run
-// there are started there again, which is safe because starts are idempotent; they are
-// placed elsewhere only after the usual proof. The higher epoch of this controller
-// distinguishes late heartbeats and commands from before the restart.
+// than that state shows that the worker has restarted under the same name, without its
+// tasks. A late message cannot be mistaken for such a reply, since the reply answers a
+// request of this controller. A restarted worker has lost its incarnation, epoch and tasks.
+// The tasks that should run there are started there again, which is safe because starts are
+// idempotent; they are placed elsewhere only after the usual proof. A higher epoch
+// distinguishes late heartbeats and commands from before the restart; see maybeBumpEpoch.
 func (tracker *heartbeatTracker) applyPollReply(m *machine, reply *model.Heartbeat, before machineSnapshot) bool {
 	if reply == nil || reply.Machine != m.id {
 		m.unansweredProbes++
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -206,9 +206,9 @@
 
 // quarantineNonStarting quarantines machines that send heartbeats but never start their
 // tasks. It stops these attempts, so that their tasks are placed elsewhere after the usual
-// proof that the attempts are gone. If many machines fail to start tasks, it does nothing:
-// then the network is more likely at fault, since replies that do not arrive are no fault of
-// the machines.
+// proof that the attempts are gone. A quarantined machine is released once it is empty. If
+// many machines fail to start tasks, quarantineNonStarting does nothing: then the network is
+// more likely at fault, since replies that do not arrive are no fault of the machines.
 func (tracker *heartbeatTracker) quarantineNonStarting() {
 	missed := func(t *task) bool { return t.missedStarts >= maxMissedStarts && t.stopReason == stopNone }
 	var nonStarting []*machine
@@ -245,7 +245,7 @@
 	}
 }
 
-// attemptsWhere returns the keys of the attempts on m for which matches returns true, sorted by
+// attemptsWhere returns the keys of the machine's attempts for which matches returns true, sorted by
 // task. The result is usually empty, so sorting all attempts first would be wasted time.
 func (machine *machine) attemptsWhere(matches func(*task) bool) []taskKey {
 	var keys []taskKey
@@ -339,8 +339,8 @@
 			j.recordRunTime(runTime)
 			tracker.controller.knowledge.updateEstimator(j, runTime)
 		}
-		// The task failed on another machine and succeeded here, so that other machine may
-		// be at fault.
+		// If the task failed on another machine before it succeeded here, the other machine
+		// may be at fault.
 		tracker.updateFaultyMachines(tracker.controller.shardLeader.faultAttribution.TaskDone(j.ID, index, m.id))
 		tracker.controller.shardLeader.endAttempt(j, index, true)
 	case "error":
@@ -406,7 +406,7 @@
 	}
 }
 
-// updateFaultyMachines updates the quarantine of some machines to the present verdicts of
+// updateFaultyMachines updates the quarantine of some machines to the current verdicts of
 // internal/faultattribution.
 func (tracker *heartbeatTracker) updateFaultyMachines(ids []string) {
 	for _, id := range ids {
@@ -424,7 +424,7 @@
 }
 
 // loseAllAttempts records that all attempts on m are gone, except the attempts that heartbeat
-// lists: these were started since. heartbeat is nil if no new one has arrived.
+// lists: these were started since. heartbeat is nil if no new heartbeat has arrived.
 func (tracker *heartbeatTracker) loseAllAttempts(m *machine, heartbeat *model.Heartbeat) {
 	for _, key := range sortedAttempts(m) {
 		t := m.attempts[key]
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -14,8 +14,8 @@
 	j := shardLeader.jobs[id]
 	if change.Deleted {
 		if j != nil && j.isLentOrLending() {
-			// The job was lent to a peer cluster. Its shard leader deleted the record after the
-			// peer had reported the outcome.
+			// The job was lent to a peer cluster. The leader deleted the record after the peer
+			// had reported the outcome.
 			delete(shardLeader.jobs, id)
 		}
 		return
--- a/internal/controller/left_waiting.go
+++ b/internal/controller/left_waiting.go
@@ -29,7 +29,7 @@
 
 const (
 	// expectedCapacityHorizon is how soon capacity must be expected for a job to wait for that capacity
-	// alone. maxWaitForExpectedCapacity is the wait after which expected capacity counts no longer: run
+	// alone. maxWaitForExpectedCapacity is the wait after which expected capacity does not count: run
 	// times and boot times are often wrong by half, so capacity may be expected again and again
 	// without coming.
 	expectedCapacityHorizon    = 15 * time.Second
@@ -47,9 +47,10 @@
 	waited time.Duration
 }
 
-// waitSinceLastStart returns how long a job has had placeable tasks without any of its tasks being placed,
-// including the time under earlier owners. If all pending tasks are retries, the wait counts from
-// this shard leader's takeover at the earliest, since the wait under earlier owners is unknown.
+// waitSinceLastStart returns how long a job has had placeable tasks without any of its tasks being
+// placed, including the time under earlier shard leaders. If all pending tasks are retries, the
+// wait counts from this shard leader's takeover at the earliest, since the wait before that is
+// unknown.
 func (scheduler *scheduler) waitSinceLastStart(job *job) time.Duration {
 	since := job.waitingSince
 	if job.nextFresh < len(job.tasks) {
@@ -92,13 +93,13 @@
 	byShape   map[taskShape]shapeCapacity
 }
 
-// shapeCapacity says which capacity there is for one kind of task: free at present, on a machine
+// shapeCapacity says which capacity there is for one kind of task: free now, on a machine
 // that is being provisioned, or to be freed soon by tasks that end.
 type shapeCapacity struct {
 	free, machineExpected, freeSoon bool
 }
 
-// newWaitDiagnosis returns a waitDiagnosis for the present state. It must not be kept beyond the
+// newWaitDiagnosis returns a waitDiagnosis for the current state. It must not be kept beyond the
 // current step.
 func (scheduler *scheduler) newWaitDiagnosis() *waitDiagnosis {
 	return &waitDiagnosis{scheduler: scheduler, byShape: map[taskShape]shapeCapacity{}}
--- a/internal/controller/loan_queries.go
+++ b/internal/controller/loan_queries.go
@@ -24,7 +24,7 @@
 
 // queryLoans applies what the query brings: the progress of jobs at peers, and until when the
 // tasks of borrowed jobs may start. It answers once the watch cache is as of a moment after the
-// query.
+// query, or at once if this controller decides on no loans.
 func (loans *lending) queryLoans(query message.QueryLoans) {
 	loans.controller.frontend.receiveProgress(query.Progress)
 	if shardLeader := loans.controller.shardLeader; shardLeader != nil {
@@ -119,9 +119,9 @@
 	return borrowed
 }
 
-// simulateLoans simulates the queue on the present machines. It adds to the view which jobs
-// without a started task would end too late in this cluster, and which capacity no job of this
-// cluster will need.
+// simulateLoans simulates the queue on the current machines. It adds to the view whether jobs with
+// pending tasks would end too late in this cluster, which jobs can be lent, and which capacity no
+// job of this cluster will need.
 func (loans *lending) simulateLoans(view *message.LoanView) {
 	fleet := &loans.controller.shardLeader.fleet
 	view.CheapestCPUHour = loans.controller.knowledge.cheapestCPUCost()
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -133,7 +133,7 @@
 	})
 }
 
-// offloadedJobsLoaded reports whether the loans were read in the present term as shard leader of
+// offloadedJobsLoaded reports whether the loans were read in the current term as shard leader of
 // the guests' team. It may be called only while this controller is a shard leader.
 func (loans *lending) offloadedJobsLoaded() bool {
 	team := loans.controller.shardLeader.teams[loans.team]
