--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -185,12 +185,12 @@
 	return m
 }
 
-// free returns the capacity of m that is neither used nor reserved.
+// free returns the capacity of the machine that is neither used nor reserved.
 func (machine *machine) free() model.Resources {
 	return machine.size.AddScaled(machine.used, -1).AddScaled(machine.otherShardsUsed, -1).AddScaled(machine.reservedForMigration, -1)
 }
 
-// isEmpty reports whether no task runs on m or may still start there.
+// isEmpty reports whether no task runs on the machine or may still start there.
 func (machine *machine) isEmpty() bool {
 	return len(machine.attempts) == 0 && !machine.hasOtherShardsAttempts
 }
@@ -232,8 +232,8 @@
 	m.zone = zone
 }
 
-// noteImage records that m fetches or has cached the image of j, and removes the images that
-// a least-recently-used cache would have evicted.
+// noteImage records that the machine fetches or has cached the image of j, and removes the
+// images that a least-recently-used cache would have evicted.
 func (machine *machine) noteImage(j *job, now time.Time, cached bool) {
 	if j.Image == "" {
 		return
@@ -269,7 +269,7 @@
 	}
 }
 
-// dropMachine drops a machine that is proven gone, if the present shard leader still has it.
+// dropMachine drops a machine that is proven gone, if the current shard leader still has it.
 func (controller *Controller) dropMachine(m *machine, why string) {
 	if controller.shardLeader == nil || controller.shardLeader.machines[m.id] != m {
 		return
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -12,7 +12,7 @@
 const (
 	// membershipLeaseTTL is how long a controller keeps its roles after it stops renewing its
 	// lease. It is short for a quick failover, and long enough for several renewals, since
-	// answers may be late.
+	// responses may be late.
 	membershipLeaseTTL = 4 * time.Second
 	// leaseRenewInterval is the time between renewals of the lease. Two renewals may be lost
 	// within membershipLeaseTTL.
@@ -68,8 +68,8 @@
 	// not replace this incarnation's record.
 	recordModRevision uint64
 
-	// storeFailingSince is when the store began to answer with nothing but errors; it is zero
-	// while the store answers. See storeDown.
+	// storeFailingSince is since when the store has refused or not answered every request; it is
+	// zero while the store answers. See storeDown.
 	storeFailingSince time.Time
 	// peersWithoutStore is when each peer last reported that it cannot reach the store.
 	peersWithoutStore map[string]time.Time
@@ -83,8 +83,8 @@
 	// while the records are complete.
 	revision uint64
 	loaded   bool
-	// generation changes whenever ctl/ is read anew. Answers to requests of an earlier
-	// generation are ignored.
+	// generation changes whenever ctl/ is read again as a whole. Responses to requests of an
+	// earlier generation are ignored.
 	generation         int
 	leader             record.Leader
 	leaderModRevision  uint64 // 0 when there is no leader
@@ -259,7 +259,7 @@
 		switch response.Status {
 		case message.StoreConflict:
 			// An earlier incarnation's write arrived late, or this incarnation's own write
-			// succeeded and the answer was lost.
+			// succeeded and the response was lost.
 			membership.after(membership.jitter(storeRetryDelay), func() {
 				if membership.leaseID == leaseID {
 					membership.endPreviousIncarnation(func() {
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -11,21 +11,22 @@
 )
 
 // migration.go carries out migrations of replicas: it passes the state of jobs and machines to
-// internal/migration, reserves capacity, stops replicas, and starts them on their target machines. A migration
-// decides where a replica runs, never whether it runs. Like any task, a migrated replica is started again only
-// after proof that its former attempt has ended and after the record of the new attempt is durable.
+// internal/migration, reserves capacity, stops replicas, and starts them on their target machines. A
+// migration decides where a replica runs, never whether it runs. Like any task, a migrated replica is started
+// again only after proof that its former attempt has ended and after the record of the new attempt is
+// durable.
 
 // migrationManager owns the migrations of replicas and the evacuation of hosts for other shard leaders. It is
 // part of the shard leader: its methods may be called only while this controller leads a shard. A callback
-// compares the shard leader's generation with the one at the time of the request, and calls the manager of the
-// current shard leader.
+// compares the shard leader's generation with the one at the time of the request, and calls the manager of
+// the current shard leader.
 //
-// Invariants: a replica is stopped only after its plan is durable, only while the membership lease is certainly
-// valid, and only if capacity is reserved for it on its target. Capacity that is reserved for one task is given
-// to no other task.
+// Invariants: a replica is stopped only after its plan is durable, only while the membership lease is
+// certainly valid, and only if capacity is reserved for it on its target. Capacity that is reserved for one
+// task is given to no other task.
 //
-// At failover the plans are recovered from the records of the teams (recoverRecords). All other state is rebuilt
-// from heartbeats and updates.
+// At failover the plans are recovered from the records of the teams (recoverRecords). All other state is
+// rebuilt from heartbeats and updates.
 type migrationManager struct {
 	component
 
@@ -68,8 +69,8 @@
 // migrationKey returns the store key of a team's record.
 func migrationKey(team string) string { return record.MigrationPrefix + teamKey(team) }
 
-// migrations returns the shard leader's migrations. It is nil if this controller leads no shard or if the models
-// capability is disabled.
+// migrations returns the shard leader's migrations. It is nil if this controller leads no shard or if the
+// models capability is disabled.
 func (controller *Controller) migrations() *migrationState {
 	shardLeader := controller.shardLeader
 	if !controller.settings.Capabilities.Models || shardLeader == nil {
@@ -95,8 +96,8 @@
 	return migrations.settings.MaxValueBytes * 3 / 4
 }
 
-// read reads the migration records of all teams and passes them to then. It passes nil if the models capability
-// is disabled.
+// read reads the migration records of all teams and passes them to then. It passes nil if the models
+// capability is disabled.
 func (migrations *migrationManager) read(then func([]message.KeyValue)) {
 	if !migrations.settings.Capabilities.Models {
 		then(nil)
@@ -244,9 +245,9 @@
 	}
 }
 
-// takeReservedTask removes a task from the pending tasks of a job and returns its index, or -1 if there is none to
-// take. It takes the task with the given index. With a negative index it takes any pending task for which no
-// other capacity is reserved and that may run on the machine.
+// takeReservedTask removes a task from the pending tasks of a job and returns its index, or -1 if there is
+// none to take. It takes the task with the given index. With a negative index it takes any pending task for
+// which no other capacity is reserved and that may run on the machine.
 func (scheduler *scheduler) takeReservedTask(state *migrationState, job *job, index int, machine *machine) int {
 	for position, taskIndex := range job.requeued {
 		task := &job.tasks[taskIndex]
@@ -263,8 +264,8 @@
 	return -1
 }
 
-// migratingResources returns the resources of replicas of the team's other jobs that are down for a migration.
-// They count against the team's quota limit, so that these replicas can start again.
+// migratingResources returns the resources of replicas of the team's other jobs that are down for a
+// migration. They count against the team's quota limit, so that these replicas can start again.
 func (migrations *migrationManager) migratingResources(job *job) model.Resources {
 	var sum model.Resources
 	state := migrations.state
@@ -279,8 +280,8 @@
 	return sum
 }
 
-// reservedTasks counts the pending tasks of a job for which capacity is reserved or for which a migration is about
-// to be planned. No machine is rented for these tasks.
+// reservedTasks counts the pending tasks of a job for which capacity is reserved or for which a migration is
+// about to be planned. No machine is rented for these tasks.
 func (migrations *migrationManager) reservedTasks(job *job) int {
 	state := migrations.state
 	if state == nil {
--- a/internal/controller/migration_facts.go
+++ b/internal/controller/migration_facts.go
@@ -8,13 +8,13 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// migrationFacts implements migration.ShardState: it passes the state of the shard leader's jobs and machines to
-// the migration tracker.
+// migrationFacts implements migration.ShardState: it passes the state of the shard leader's jobs and machines
+// to the migration tracker.
 type migrationFacts struct{ controller *Controller }
 
-// movableReplica returns the job and the task with the given job ID and index if the task is a replica that may
-// be migrated. It returns nil for tasks that are never migrated: those of batch, gang, cancelled or ending jobs, of
-// jobs lent to a peer, and of jobs borrowed from a peer.
+// movableReplica returns the job and the task with the given job ID and index if the task is a replica that
+// may be migrated. It returns nil for tasks that are never migrated: those of batch, gang, cancelled or
+// ending jobs, of jobs lent to a peer, and of jobs borrowed from a peer.
 func (migrations *migrationManager) movableReplica(id string, index int) (*job, *task) {
 	job := migrations.controller.shardLeader.jobs[id]
 	if job == nil || !job.LongRunning || job.Gang || job.cancelled || job.ending || job.isLentOrLending() || job.borrowedLoan != "" || index >= len(job.tasks) {
@@ -65,8 +65,8 @@
 	return job.pendingTasks()
 }
 
-// FreeCapacity returns the capacity of a host that no task uses, including capacity reserved for migrations, and
-// whether tasks may be placed on the host. It implements migration.ShardState.
+// FreeCapacity returns the capacity of a host that no task uses, including capacity reserved for migrations,
+// and whether tasks may be placed on the host. It implements migration.ShardState.
 func (facts migrationFacts) FreeCapacity(host string) (model.Resources, bool) {
 	machine := facts.controller.shardLeader.machines[host]
 	if machine == nil {
@@ -75,8 +75,8 @@
 	return machine.free().AddScaled(machine.reservedForMigration, 1), facts.controller.shardLeader.scheduler.usable(machine)
 }
 
-// AwaitsHeartbeat reports whether this shard leader owns a host from which it has received no heartbeat since it recovered
-// its records, and may still expect one. It waits for three heartbeat intervals. It implements
+// AwaitsHeartbeat reports whether this shard leader owns a host from which it has received no heartbeat since
+// it recovered its records, and may still expect one. It waits for three heartbeat intervals. It implements
 // migration.ShardState.
 func (facts migrationFacts) AwaitsHeartbeat(host string) bool {
 	if _, owned := facts.controller.membership.ownedMachine(host); !owned || facts.controller.knowledge.released[host] {
@@ -105,9 +105,9 @@
 	return replicaJob != nil && otherJob != nil && facts.controller.shardLeader.migration.yieldsTo(replicaJob, otherJob)
 }
 
-// yieldsTo reports whether the only replica of a job may be stopped to free capacity for another job. The other
-// job must come before it in the ranking, or have the same rank and tasks that need more GPUs or, with equal GPUs,
-// more CPUs.
+// yieldsTo reports whether the only replica of a job may be stopped to free capacity for another job. The
+// other job must come before it in the ranking, or have the same rank and tasks that need more GPUs or, with
+// equal GPUs, more CPUs.
 func (migrations *migrationManager) yieldsTo(job, other *job) bool {
 	switch rank, otherRank := migrations.controller.ranking.rankOf(job), migrations.controller.ranking.rankOf(other); {
 	case rank != otherRank:
@@ -118,8 +118,8 @@
 	return other.Need.CPU > job.Need.CPU
 }
 
-// migrationsStatus returns the migrations as status and metrics show them. It returns nil if this controller leads
-// no shard or has no migrations state.
+// migrationsStatus returns the migrations as status and metrics show them. It returns nil if this controller
+// leads no shard or has no migrations state.
 func (controller *Controller) migrationsStatus() *message.MigrationsStatus {
 	if controller.shardLeader == nil || controller.shardLeader.migration.state == nil {
 		return nil
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -33,8 +33,8 @@
 // unschedulableReplica is a job with a pending task that fits on no machine, though the free capacity of all
 // machines together suffices.
 type unschedulableReplica struct {
-	// since is when the job was first found unschedulable. lastTried is when migrations were last searched for it,
-	// zero if never.
+	// since is when the job was first found unschedulable. lastTried is when migrations were last searched for
+	// it, zero if never.
 	since, lastTried time.Time
 }
 
@@ -89,8 +89,8 @@
 	}
 }
 
-// waitsForCapacity reports whether a job has a pending task that migrations could help: the task is large for some
-// machine type, and no capacity is reserved for it.
+// waitsForCapacity reports whether a job has a pending task that migrations could help: the task is large for
+// some machine type, and no capacity is reserved for it.
 func (migrations *migrationManager) waitsForCapacity(state *migrationState, job *job) bool {
 	if job.Gang || job.borrowedLoan != "" || migrations.controller.shardLeader.scheduler.placeableTasks(job) == 0 || !migrations.controller.shardLeader.scheduler.withinQuotaLimit(job) {
 		return false
@@ -106,8 +106,8 @@
 	return false
 }
 
-// isUnschedulable reports whether a task of the job fits on no machine, though the free capacity of all machines
-// together suffices.
+// isUnschedulable reports whether a task of the job fits on no machine, though the free capacity of all
+// machines together suffices.
 func (migrations *migrationManager) isUnschedulable(job *job) bool {
 	var sum model.Resources
 	large := false
@@ -141,8 +141,8 @@
 	migrations.startPlan(state, job.Team, problem, plan)
 }
 
-// startPlan starts a plan that migration.Find returned for the problem. The plan is stored in the record of the given
-// team.
+// startPlan starts a plan that migration.Find returned for the problem. The plan is stored in the record of
+// the given team.
 func (migrations *migrationManager) startPlan(state *migrationState, team string, problem *migration.Problem, plan migration.Plan) {
 	var attempts []uint64
 	for _, move := range plan.Moves {
@@ -193,8 +193,8 @@
 	return problem
 }
 
-// migrationCandidates returns a problem with the usable hosts and with the replicas that may be migrated for the
-// job. It also returns the machines of these hosts, in the same order.
+// migrationCandidates returns a problem with the usable hosts and with the replicas that may be migrated for
+// the job. It also returns the machines of these hosts, in the same order.
 func (migrations *migrationManager) migrationCandidates(state *migrationState, job *job) (*migration.Problem, []*machine) {
 	shardLeader := migrations.controller.shardLeader
 	problem := &migration.Problem{MaxMoves: migration.MaxMoves}
@@ -251,8 +251,8 @@
 	return problem, hosts
 }
 
-// allowedHosts returns a function that reports whether a replica of the job in the given zone may migrate to a
-// host, given the zones of the job's other tasks. The function takes an index of hosts.
+// allowedHosts returns a function that reports whether a replica of the job in the given zone may migrate to
+// a host, given the zones of the job's other tasks. The function takes an index of hosts.
 func allowedHosts(job *job, zone string, hosts []*machine) func(int) bool {
 	zoneOK := func(to string) bool {
 		switch {
@@ -269,9 +269,9 @@
 	}
 }
 
-// maxMigrationCost returns how much the migrations for a task of the job may cost. It is the time until a new machine
-// would be ready and have the image, or until capacity is expected to become free, whichever is shorter, and at most
-// maxMigrationWait.
+// maxMigrationCost returns how much the migrations for a task of the job may cost. It is the time until a new
+// machine would be ready and have the image, or until capacity is expected to become free, whichever is
+// shorter, and at most maxMigrationWait.
 func (migrations *migrationManager) maxMigrationCost(job *job) time.Duration {
 	cost := maxMigrationWait
 	view := migrations.controller.shardLeader.fleet.view
--- a/internal/controller/migration_records.go
+++ b/internal/controller/migration_records.go
@@ -19,8 +19,8 @@
 	return state.lastWrite.Add(migrationWriteInterval * time.Duration(max(1, shardLeaders)))
 }
 
-// write writes the record of one team, if a write is due. A record with new plans is written first and without
-// delay; any other change waits for migrationLazyDelay.
+// write writes the record of one team, if a write is due. A record with new plans is written first and
+// without delay; any other change waits for migrationLazyDelay.
 func (migrations *migrationManager) write(state *migrationState) {
 	if migrations.nextMigrationWrite(state).After(migrations.now) {
 		return
@@ -48,10 +48,10 @@
 	migrations.writeTeam(state, bestTeam)
 }
 
-// migrationTxn returns the transaction that writes a team's record. The transaction compares the revisions of the
-// open records of all jobs in new plans, so that no job is migrated that was cancelled in the meantime. It also
-// compares the revisions of the shards of these jobs' teams and of the migration record itself. migrationTxn returns
-// false if a job of a new plan is not open any more.
+// migrationTxn returns the transaction that writes a team's record. The transaction compares the revisions of
+// the open records of all jobs in new plans, so that no job is migrated that was cancelled in the meantime.
+// It also compares the revisions of the shards of these jobs' teams and of the migration record itself.
+// migrationTxn returns false if a job of a new plan is not open any more.
 func (migrations *migrationManager) migrationTxn(state *migrationState, team string, value []byte) (message.StoreRequest, bool) {
 	request := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy}
 	teams := []string{team}
@@ -130,9 +130,9 @@
 	})
 }
 
-// reReadTeam reads the revision of a team's record after a write with an unknown outcome: the store may have applied
-// it, or may apply it later. Each write compares the shard's revision, so the stored record was written under this
-// shard, and the record is written again on top of the revision that was read.
+// reReadTeam reads the revision of a team's record after a write with an unknown outcome: the store may have
+// applied it, or may apply it later. Each write compares the shard's revision, so the stored record was
+// written under this shard, and the record is written again on top of the revision that was read.
 func (migrations *migrationManager) reReadTeam(state *migrationState, team string, rec *migrationRecord) {
 	rec.writing = true
 	generation := migrations.controller.shardLeader.generation
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -66,7 +66,7 @@
 }
 
 // currentPackingProfile returns the packing profile, or nil when the models capability is off. It
-// recomputes the profile each packingProfileInterval, from the present jobs and the newest job of
+// recomputes the profile each packingProfileInterval, from the current jobs and the newest job of
 // each recent workload. The profile therefore needs no records of its own: a successor derives it
 // from the jobs that it takes over.
 func (scheduler *scheduler) currentPackingProfile() *packingProfile {
@@ -113,8 +113,8 @@
 	return tallies
 }
 
-// buildPackingProfiles fills profile.kinds: for each machine type with GPUs, the profile of the replicas that
-// may run on it.
+// buildPackingProfiles fills profile.profiles: for each machine type with GPUs, the profile of the replicas
+// that may run on it.
 func (scheduler *scheduler) buildPackingProfiles(profile *packingProfile, tallies map[replicaShape]replicaDemand) {
 	shapes := slices.SortedFunc(maps.Keys(tallies), func(a, b replicaShape) int {
 		return cmp.Or(cmp.Compare(a.need.GPU, b.need.GPU), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory), cmp.Compare(a.machineTypes, b.machineTypes))
@@ -139,8 +139,8 @@
 	}
 }
 
-// findGPUFallback fills profile.gpuFallback with the workloads without GPUs that have waited for so long that
-// their tasks may use machines with GPUs.
+// findGPUFallback fills profile.gpuFallback with the workloads without GPUs that have waited for so long
+// that their tasks may use machines with GPUs.
 func (scheduler *scheduler) findGPUFallback(profile *packingProfile) {
 	shardLeader := scheduler.controller.shardLeader
 	fallbackAfter := gpuFallbackAfter
@@ -163,7 +163,7 @@
 	return profile.profiles[machineType]
 }
 
-// avoidsGPUsNow reports whether a job's tasks may use at present only that capacity of machines with
+// avoidsGPUsNow reports whether a job's tasks may now use only that capacity of machines with
 // GPUs that no replica could use. Unlike avoidsGPUs it considers how long the job has waited, how
 // brief its tasks are, and whether replicas wait.
 func (scheduler *scheduler) avoidsGPUsNow(j *job) bool {
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -209,7 +209,7 @@
 }
 
 // publishRerouted writes the record that machines of an owner report to this controller. The
-// record names the owner's present incarnation.
+// record names the owner's current incarnation.
 func (detector *partitionDetector) publishRerouted(ownerHost, ownerIncarnation string) {
 	members := &detector.controller.membership
 	if detector.now.Sub(detector.reroutedPublishedAt) < rerouteRecordInterval || members.leaseID == 0 || detector.now.After(members.leaseValidUntil) {
@@ -231,8 +231,7 @@
 	var reroutes record.ReroutedMachines
 	if !item.Deleted && record.Decode(item.Value, &reroutes) && reroutes.Controller == detector.settings.Host && reroutes.Incarnation == detector.incarnation() {
 		if detector.now.Sub(detector.reroutesReportedAt) > rerouteRecordTTL {
-			// Unanswered polls from before this record don't show whether messages arrive at
-			// present.
+			// Unanswered polls from before this record don't show whether messages arrive now.
 			detector.monitor.RequestDelivered()
 		}
 		detector.reroutesReportedAt = detector.now
@@ -269,7 +268,7 @@
 		}
 	})
 	detector.controller.membership.relinquishRoles("partitioned from workers")
-	// Revoking the lease frees the lead and this controller's member record at once. A new
+	// Revoking the lease frees the leadership and this controller's member record at once. A new
 	// lease is requested only after that, since this controller must not look alive in
 	// between.
 	detector.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: leaseID}, func(message.StoreResponse) {
--- a/internal/controller/planning_pass.go
+++ b/internal/controller/planning_pass.go
@@ -29,7 +29,7 @@
 	leaderUpdateSeq uint64
 
 	// capacityRequests, machinesToRelease and surplus are the requests to the leader: machines
-	// to rent, machines to return to the cloud, and idle machines that other shard leaders may
+	// to rent, machines to release, and idle machines that other shard leaders may
 	// have, the most expensive first. A new pass clears them.
 	capacityRequests  map[machineKind]int
 	machinesToRelease []string
@@ -53,7 +53,7 @@
 // pausePlanning delays the next slice of a planning pass until the given time.
 func (planner *fleetPlanner) pausePlanning(until time.Time) { planner.planningPassAt = until }
 
-// requestRelease asks the leader to return a machine to the cloud.
+// requestRelease asks the leader to release a machine.
 func (planner *fleetPlanner) requestRelease(id string) {
 	planner.machinesToRelease = append(planner.machinesToRelease, id)
 }
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -11,8 +11,8 @@
 )
 
 // prewarmedWriteInterval is the time between the writes of consecutive records, which say which machines
-// hold which images. The records only avoid image fetches after all controllers have ended at once, when no former
-// shard leader is left to publish the images of its machines. They are therefore written seldom.
+// hold which images. The records only avoid image fetches after all controllers have ended at once, when
+// no former shard leader is left to publish the images of its machines. They are therefore written seldom.
 const prewarmedWriteInterval = 4 * time.Second
 
 // splitMachineNumber splits a machine's id into a prefix and a trailing number, and returns the number's
@@ -106,8 +106,8 @@
 	})
 }
 
-// applyPrewarmedRecord adds the images of a former shard leader's record to p.prewarmedImages. It ignores a
-// record that can't be decoded.
+// applyPrewarmedRecord adds the images of a former shard leader's record to prewarmedImages. It ignores
+// a record that can't be decoded.
 func (persistence *persistence) applyPrewarmedRecord(kv message.KeyValue) {
 	var prewarmed record.Prewarmed
 	if !record.Decode(kv.Value, &prewarmed) {
--- a/internal/controller/queue_order.go
+++ b/internal/controller/queue_order.go
@@ -112,7 +112,7 @@
 	missesPromise bool
 }
 
-// placeableTasks returns how many of a job's pending tasks may be placed at present. A job that
+// placeableTasks returns how many of a job's pending tasks may be placed now. A job that
 // fails everywhere gets one retry at a time, after a backoff, to find out whether it still fails:
 // if it has no live task, or while other tasks of it run. It gets more retries if tasks of it have
 // run for longer than any failed one.
@@ -147,8 +147,8 @@
 		if task.machine == nil {
 			continue
 		}
-		// The run time counts only up to the machine's last heartbeat, as the machine may
-		// hang since then.
+		// The run time counts only up to the machine's last heartbeat, since the machine
+		// may have hung after it.
 		if task.isRunning() && !task.inherited && !task.startedAt.IsZero() {
 			ran := task.machine.lastHeard.Sub(task.startedAt)
 			if ran >= faultattribution.MinProofRun {
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -10,13 +10,13 @@
 	"github.com/micahill/micahill/internal/remote"
 )
 
-// maxCommands bounds the commands in one response or request to a worker. The body may have 64 KiB,
-// and a command takes about 70 bytes plus the job's name.
+// maxCommands bounds the commands in one reply to a heartbeat or one request to a worker. The body
+// may have 64 KiB, and a command takes about 70 bytes plus the job's name.
 const maxCommands = 500
 
 // dispatcher compares the tasks in a worker's newest heartbeat with the attempts that should run
 // there, and derives the commands for the worker. It sends the commands that can't wait for the
-// response to the next heartbeat.
+// reply to the next heartbeat.
 //
 // It is part of a shardLeader, and its methods are called only while that shardLeader leads: by
 // Step (dispatchAll) and for each heartbeat (pendingCommands). It has no state to hand over at
@@ -71,8 +71,8 @@
 	return m.seenEpoch >= m.epoch && m.unackedStartEpoch == 0 && m.replySequence == 0 && !m.dispatchInFlight
 }
 
-// waitsForStartProof reports whether an unanswered start keeps m from being settled: m has a task
-// to clear or an attempt to give up, which is possible only when no start is in flight.
+// waitsForStartProof reports whether an unanswered start keeps the machine from being settled: it
+// has a task to clear or an attempt to give up, which is possible only when no start is in flight.
 func (machine *machine) waitsForStartProof(registry *remote.Registry) bool {
 	if registry.HasUnreported(machine.id) {
 		return true
@@ -109,7 +109,7 @@
 	commands = dispatcher.appendStarts(commands, m, noStartInFlight)
 	// Clears come last and only up to maxCommands: thousands of short tasks may have ended on the
 	// machine, and starts and stops must not wait for their clears. The remaining clears go with
-	// the response to the next heartbeat.
+	// the reply to the next heartbeat.
 	return append(commands, clears[:min(len(clears), max(0, maxCommands-len(commands)))]...)
 }
 
@@ -245,7 +245,7 @@
 		return
 	}
 	if dispatcher.now.After(dispatcher.controller.membership.leaseValidUntil) {
-		// Another controller may lead the shard. Only responses to heartbeats are sent a while
+		// Another controller may lead the shard. Only replies to heartbeats are sent a while
 		// longer.
 		return
 	}
@@ -254,7 +254,7 @@
 		return
 	}
 	if !slices.ContainsFunc(commands, func(cmd model.TaskCommand) bool { return cmd.Kind != model.ClearTask }) {
-		// Clears can wait for the response to the next heartbeat.
+		// Clears can wait for the reply to the next heartbeat.
 		return
 	}
 	starts := slices.ContainsFunc(commands, func(cmd model.TaskCommand) bool { return cmd.Kind == model.StartTask })
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -140,9 +140,9 @@
 // isCovered reports whether a sized segment has already provided the state of task i.
 func (job *job) isCovered(i int) bool { return i < len(job.covered) && job.covered[i] }
 
-// ensureOwnSegment records that the state of task i was read from a segment of format f. If f is not the
-// job's own format, ensureOwnSegment creates the task's segment in the job's format. The next change of
-// the task is then written there.
+// ensureOwnSegment records that the state of task i was read from a segment of the given format. If
+// this is not the job's own format, ensureOwnSegment creates the task's segment in the job's format.
+// The next change of the task is then written there.
 func (job *job) ensureOwnSegment(format segmentFormat, i int, rankingRevision uint64) {
 	if format != job.segmentFormat {
 		job.formerSegment(i, rankingRevision)
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -28,8 +28,8 @@
 // the job's shard leader repeats its requests for the attempts in its records, and
 // heartbeats show the other attempts.
 //
-// Invariant: an attempt on a remote machine counts as gone only when the machine's present
-// owner in the shard map says so under its present epoch.
+// Invariant: an attempt on a remote machine counts as gone only when the machine's current
+// owner in the shard map says so under its current epoch.
 type remoteAttempts struct {
 	component
 
@@ -156,7 +156,7 @@
 
 // receiveRemoteAttempts applies the states that a machine's owner has published of attempts
 // of this shard leader's jobs. It accepts them only from the owner that the shard map names
-// at present, under its present epoch: since an earlier epoch the machine may have belonged
+// now, under its current epoch: since an earlier epoch the machine may have belonged
 // to this controller again, which may have started the attempt.
 func (attempts *remoteAttempts) receiveRemoteAttempts(from string, updates []remote.MachineStatus) {
 	leader := attempts.controller.shardLeader
--- a/internal/controller/renewal_bound.go
+++ b/internal/controller/renewal_bound.go
@@ -18,8 +18,8 @@
 
 // leaseRenewer decides until when heartbeats may be answered with a reply that renews the
 // worker's lease. It has no state of its own: it decides by the membership lease, the watch
-// cache and the state of the machine. All its methods except RenewalBound may be called only
-// while this controller leads a shard.
+// cache and the state of the machine. Its methods may be called only while this controller
+// leads a shard.
 type leaseRenewer struct {
 	component
 }
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -173,7 +173,7 @@
 // forgetUnlisted removes the rentals of machines that no list has contained for a long time. A
 // list may be older than the previous one, but a machine that was listed once stays listed until
 // it is gone. Absence from the list proves nothing about the tasks on a machine: they are judged
-// by heartbeats, the worker lease, or the answer to a release.
+// by heartbeats, the worker lease, or the response to a release.
 func (leader *leader) forgetUnlisted() {
 	for _, id := range sortedKeys(leader.rentals) {
 		rental := leader.rentals[id]
@@ -236,7 +236,7 @@
 }
 
 // sendBooking requests machines of a kind for a shard leader. idempotencyKey is "" for a new
-// booking. A booking without an answer is repeated under its key, so that it rents no machine
+// booking. A booking without a response is repeated under its key, so that it rents no machine
 // twice.
 func (leader *leader) sendBooking(host string, kind machineKind, count int, idempotencyKey string) {
 	if idempotencyKey == "" {
@@ -283,7 +283,7 @@
 	}
 }
 
-// receiveRented stores the machines that the cloud has rented out in answer to a booking of
+// receiveRented stores the machines that the cloud has rented out in response to a booking of
 // count machines for host.
 func (leader *leader) receiveRented(host string, kind machineKind, count int, ids []string) {
 	for _, id := range ids {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -38,7 +38,7 @@
 
 // selectReleases requests the release of machines that failed, were never ready, are unresponsive or are
 // faulty, and of surplus machines that have been idle for long enough. The planning pass that computed
-// surplus may have taken a while, so selectReleases checks the present state of each machine.
+// surplus may have taken a while, so selectReleases checks the current state of each machine.
 func (planner *fleetPlanner) selectReleases(surplus map[string]bool) {
 	settled := planner.now.Sub(planner.controller.shardLeader.since) > settleTime
 	unresponsive := map[string]bool{}
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -93,7 +93,7 @@
 // recordRoundDuration stores how long the step with the last round took.
 func (scheduler *scheduler) recordRoundDuration(d time.Duration) { scheduler.roundDuration = d }
 
-// usable reports whether tasks may be placed on a machine at present.
+// usable reports whether tasks may be placed on a machine now.
 func (scheduler *scheduler) usable(m *machine) bool {
 	return !scheduler.controller.isRentedForOther(m.id) &&
 		m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks &&
@@ -154,8 +154,9 @@
 	if bound == 0 || job.Urgency == model.BestEffort {
 		place(forever, most())
 		if (job.placingOverdue || scheduler.preemptsForReplica(job)) && most() > 0 && !scheduler.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
-			// An overdue job may preempt tasks of lower urgency; a job with replicas
-			// may preempt only such tasks without GPUs.
+			// An overdue job may preempt tasks of lower urgency. With the models
+			// capability on, a job that needs GPUs may preempt only such tasks that
+			// need none.
 			scheduler.preemptIfDue(job, forever)
 		}
 		return
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -67,8 +67,8 @@
 
 // Policy holds the values that the operators' policy script sets; see internal/policy.
 type Policy struct {
-	// RelaunchFactor is how many times its expected run time a task may take before it is
-	// relaunched. The paper calls it w.
+	// RelaunchFactor is how many times the median run time of its job's finished tasks a task may
+	// take before it is relaunched; see relaunch.go. The paper calls it w.
 	RelaunchFactor float64
 	// RebalanceInterval is the least time between two moves of a shard or team that the leader
 	// makes to balance the load.
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -28,7 +28,7 @@
 // shardLeader runs the teams and machines of the shards that this controller holds, with the
 // components that exist only for that.
 //
-// A controller has a shard leader while the shard map, as read under the present membership
+// A controller has a shard leader while the shard map, as read under the current membership
 // lease, gives it a shard; see syncShardLeader. The methods of a shard leader may be called only
 // while Controller.shardLeader points to it. A shard leader may be dropped and replaced while a
 // request is in flight, so a callback compares Controller.shardLeader or the generation before
@@ -36,7 +36,7 @@
 // loads the teams' records and learns of the machines from their heartbeats.
 //
 // A task's attempt is counted in its job, its machine and its team alike. Only attachAttempt,
-// endAttempt and the hand-over of teams and machines change these counts.
+// endAttempt and the handover of teams and machines change these counts.
 type shardLeader struct {
 	component
 
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -11,7 +11,7 @@
 )
 
 // shard_sync.go keeps the shard leader's teams and machines in line with the shard map, as far
-// as its records have been read. Teams and machines are taken over and handed over while their
+// as the map's records have been read. Teams and machines are taken over and handed over while their
 // tasks keep running, and no other team or machine is affected.
 
 // heldTeam is a team of a shard that this controller holds.
@@ -20,7 +20,7 @@
 	ready   bool
 	readyAt time.Time
 	// holdID identifies this period of holding the team: a team that goes and comes back gets a
-	// new one.
+	// new ID.
 	holdID int
 	// reassigned is set when the team has belonged to another shard since this controller got
 	// it, even if it is back by now. The other shard's leader may have written records of its
@@ -187,7 +187,7 @@
 		case shard.Epoch != machine.epoch:
 			// Another controller may have owned the machine in between, and this controller
 			// learns of that only from the new epoch. Earlier observations are discarded, and
-			// the worker's lease is counted from the last answer that the former owner may
+			// the worker's lease is counted from the last reply that the former owner may
 			// have sent.
 			machine.epoch, machine.formerOwnerUntil = shard.Epoch, shardLeader.now.Add(shardLeader.controller.renewal.formerOwnerGrace())
 			if !machine.leaseEnd.IsZero() {
@@ -251,7 +251,7 @@
 		machine.attempts[key] = task
 		machine.used = machine.used.AddScaled(job.Need, 1)
 	}
-	// The former owner may still answer the machine's heartbeats for a while, and each answer
+	// The former owner may still answer the machine's heartbeats for a while, and each reply
 	// renews the worker's lease.
 	machine.leaseEnd = later(machine.leaseEnd, shardLeader.controller.renewal.leaseEndAfter(machine.formerOwnerUntil))
 	shardLeader.remoteAttempts.reapplyTaskReports(machine)
--- a/internal/controller/simulated_machine.go
+++ b/internal/controller/simulated_machine.go
@@ -44,7 +44,7 @@
 }
 
 // simulatedMachine is a machine in a simulation: its free capacity from some time on, and the capacity
-// that tasks will release later. Times count from the present time of the simulation.
+// that tasks will release later. Times count from the current time of the simulation.
 type simulatedMachine struct {
 	machineKind machineKind
 	index       int32
@@ -61,8 +61,8 @@
 	// time left per GB for an image that is being fetched.
 	secondsPerGB, fetchingSecondsPerGB float64
 
-	// free is the capacity that is free from the time at on. releases, ordered by time, are the
-	// amounts that become free later.
+	// free is the capacity that is free from the time freeFrom on. releases, ordered by time, are
+	// the amounts that become free later.
 	freeFrom time.Duration
 	free     model.Resources
 	releases []release
@@ -192,9 +192,9 @@
 	return releases
 }
 
-// addImages sets the machine's cached and fetchingImages to the numbers of the images that the machine holds and
-// fetches, and assigns numbers to new images. It appends the numbers to ids, which has capacity for those
-// of all machines, and returns the extended slice.
+// addImages sets the machine's cached and fetchingImages to the numbers of the images that the machine
+// holds and fetches, and assigns numbers to new images. It appends the numbers to ids, which has capacity
+// for those of all machines, and returns the extended slice.
 func (capacity *freeCapacity) addImages(simMachine *simulatedMachine, ids []int32) []int32 {
 	// The numbers of the cached images come first, then those of the images being fetched.
 	start, cached := len(ids), 0
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -24,7 +24,7 @@
 	maxLateness = 10 * time.Minute
 )
 
-// simulation predicts on which machine and when each task would start. Its present time is the moment
+// simulation predicts on which machine and when each task would start. Its time now is the moment
 // at which it was created, also when a planning pass continues it in later steps. It changes only its
 // own copies of the machines.
 type simulation struct {
@@ -212,5 +212,5 @@
 	return len(limits.job.tasks)
 }
 
-// add counts k more tasks in a zone.
+// add counts the given number of further tasks in a zone.
 func (limits *zoneLimits) add(zone string, tasks int) { limits.liveTasks[zone] += tasks }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -34,7 +34,7 @@
 	promisedAfter time.Duration
 }
 
-// promisedDate returns the date that the answer to the submission reports.
+// promisedDate returns the date that the reply to the submission reports.
 func (submission *submission) promisedDate() promise.Date {
 	rec := submission.openRecord()
 	return rec.FirstDate()
--- a/internal/controller/team_loading.go
+++ b/internal/controller/team_loading.go
@@ -50,8 +50,7 @@
 	return load.controller.shardLeader != nil && load.controller.shardLeader.generation == load.generation
 }
 
-// readOpenJobs reads the open jobs, again and again until that succeeds, and then the other
-// records.
+// readOpenJobs reads the open jobs, retrying until that succeeds, and then the other records.
 func (load *teamLoad) readOpenJobs() {
 	load.controller.frontend.watchCache.refresh(func(ok bool) {
 		switch {
@@ -117,7 +116,7 @@
 	formats := &shardLeader.controller.membership.formats
 	for _, kv := range tasks {
 		// A sized segment is written only after every controller has recorded that it supports
-		// them, so the segment's format can be adopted.
+		// sized segments, so the segment's format can be adopted.
 		if format, _, ok := formats.parseSegmentKey(kv.Key); ok {
 			formats.adoptFormat(format)
 		}
--- a/internal/controller/transfer_requests.go
+++ b/internal/controller/transfer_requests.go
@@ -64,7 +64,7 @@
 	transfers.othersRequests, transfers.receivedAt = requests, transfers.now
 }
 
-// update computes the requests and offers anew, at most once per leaderPeriod. There are none if
+// update computes the requests and offers again, at most once per leaderPeriod. There are none if
 // a single shard leader runs all teams, or until the machines have been heard after a takeover.
 func (transfers *machineTransfers) update() {
 	shardLeader := transfers.controller.shardLeader
@@ -141,7 +141,7 @@
 	return out
 }
 
-// allowedKinds returns the kinds of machines on which a task of a job may run at present.
+// allowedKinds returns the kinds of machines on which a task of a job may run now.
 func (transfers *machineTransfers) allowedKinds(job *job) []exchange.Kind {
 	var out []exchange.Kind
 	for _, name := range sortedKeys(transfers.controller.knowledge.machineTypes) {
@@ -190,7 +190,7 @@
 	return knowledge.machineTypes[kind.MachineType].Capacity
 }
 
-// mayOffer reports whether a machine may be offered to other owners at present.
+// mayOffer reports whether a machine may be offered to other owners now.
 func (transfers *machineTransfers) mayOffer(machine *machine) bool {
 	shardLeader := transfers.controller.shardLeader
 	switch {
--- a/internal/controller/transfers.go
+++ b/internal/controller/transfers.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// validOffers returns the offers of machines that their owner may give away at present. An offer
+// validOffers returns the offers of machines that their owner may give away now. An offer
 // of a machine that does not belong to the sender is rejected as invalid input, except just
 // after a transfer, when the offer is merely late.
 func (leader *leader) validOffers(host string, offers []exchange.TransferOffer) []exchange.TransferOffer {
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -26,7 +26,7 @@
 // read openJobs and asOf, and write no field.
 //
 // Invariants: the copy is exact as of revision, and every change is applied once and in order.
-// An answer rests on the copy only after a read that began after the request (refresh, readJob).
+// A reply to a user rests on the copy only after a read that began after the request (refresh, readJob).
 // asOf never goes back.
 type watchCache struct {
 	component
@@ -36,7 +36,7 @@
 	loading bool
 
 	// The copy contains every write that took effect before asOf. asOf is when the newest
-	// answered read or watch was sent. Answers that extend leases are bounded by it; see
+	// answered read or watch was sent. Replies that extend leases are bounded by it; see
 	// renewal_bound.go.
 	revision uint64
 	asOf     time.Time
@@ -125,8 +125,8 @@
 	list("")
 }
 
-// applyOpenJobUpdates applies the answer to a read or a watch: all changes after a revision that
-// this copy had reached. Two answers may overlap; a change in both is applied once.
+// applyOpenJobUpdates applies the response to a read or a watch: all changes after a revision that
+// this copy had reached. Two responses may overlap; a change in both is applied once.
 func (cache *watchCache) applyOpenJobUpdates(response message.StoreResponse) {
 	for _, kv := range response.KeyValues {
 		if kv.ModRevision > cache.revision && !cache.controller.promises.applyPage(&cache.promisePages, kv) {
@@ -230,7 +230,7 @@
 
 // jobLookup is what the store contains of a job.
 type jobLookup struct {
-	// ok says that the store answered, and accepted that the job was accepted at some time.
+	// ok says that the store answered. accepted says that the job was accepted at some time.
 	ok, accepted bool
 	rec          record.JobStatus
 	// modRevision and open are those of the open record, while the job is not over.
