--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// slowMachineRatio is the ratio of actual to expected run time, averaged over at least
-	// minSpeedSamples tasks, from which a machine is avoided.
+	// slowMachineRatio is the ratio of a task's run time to the median run time of its job,
+	// averaged over at least minSpeedSamples tasks, above which a machine is avoided.
 	slowMachineRatio = 1.7
 	minSpeedSamples  = 2 // tasks
 )
--- a/internal/controller/planning_pass.go
+++ b/internal/controller/planning_pass.go
@@ -29,8 +29,8 @@
 	leaderUpdateSeq uint64
 
 	// capacityRequests, machinesToRelease and surplus are the requests to the leader: machines
-	// to rent, machines to release, and idle machines that other shard leaders may
-	// have, the most expensive first. A new pass clears them.
+	// to rent, machines to release, and idle machines that other shard leaders may have, the
+	// most expensive first. A new pass clears them.
 	capacityRequests  map[machineKind]int
 	machinesToRelease []string
 	surplus           []string
@@ -194,8 +194,8 @@
 // stopped makes no further requests.
 func (planner *fleetPlanner) scanFleet(charge chargeFunc) {
 	shardLeader := planner.controller.shardLeader
-	// The live tasks and their expected ends are the same for all parts of the pass, so all
-	// parts share one simulation.
+	// The live tasks and their expected ends are the same for all parts of the pass, so the
+	// simulations of all parts start from one freeCapacity.
 	sim := planner.futureFreeCapacity()
 	if !charge(len(sim.machines)) {
 		return
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -14,7 +14,7 @@
 	// published once. machineUpdateTTL is how long the peers keep the update of a machine.
 	machineUpdateParts = 5
 	machineUpdateTTL   = 15 * time.Second
-	// loadsPublishInterval is how often the loads of the workloads are published.
+	// loadsPublishInterval is how often the loads of the workloads and the quotes are published.
 	loadsPublishInterval = 5 * time.Second
 )
 
@@ -99,7 +99,7 @@
 	}
 }
 
-// publishLoadsSoon has the next update include the loads of the workloads.
+// publishLoadsSoon has the next update include the loads of the workloads and the quotes.
 func (shardLeader *shardLeader) publishLoadsSoon() { shardLeader.loadsPublishedAt = time.Time{} }
 
 // receiveTeamRelease records the team that the leader wants to move, for offers.
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -74,7 +74,8 @@
 	promiseDates     shardLeaderDates
 
 	// publishedAt is when this shard leader last published an update to the peers, and
-	// loadsPublishedAt when an update last included the loads of the workloads; see publish.go.
+	// loadsPublishedAt when an update last included the loads of the workloads and the quotes;
+	// see publish.go.
 	publishedAt      time.Time
 	loadsPublishedAt time.Time
 	// publishPart is the part of the machines that the last update published, from 0 to
