--- a/internal/controller/transfer_requests.go
+++ b/internal/controller/transfer_requests.go
@@ -21,17 +21,17 @@
 const partlyRunningWait = 65 * time.Second
 
 const (
-	// minTimeSincePlacement is how long an owner must have placed no task on a machine before it offers the
-	// machine for any request. A machine on which the owner has placed a task more recently is
-	// offered only if a job has waited for busyMachineWait.
+	// minTimeSincePlacement is how long an owner must have placed no task on a machine before it
+	// offers the machine for any request. A machine on which the owner has placed a task more
+	// recently is offered only if a job has waited for busyMachineWait.
 	minTimeSincePlacement = 30 * time.Second
 	// busyMachineWait is how long a job of another shard leader must have waited before machines
 	// are offered that their owner has used within minTimeSincePlacement.
 	busyMachineWait = 75 * time.Second
 )
 
-// transferSettleTime is how long after its arrival a transferred machine may go without a task. Until
-// then, capacity is not requested for the number of jobs that the machine could serve.
+// transferSettleTime is how long after its transfer a machine that has sent no heartbeat here counts
+// as arriving. Each arriving machine is expected to serve one job, for which no capacity is requested.
 const transferSettleTime = 8 * time.Second
 
 // machineTransfers holds a shard leader's requests for capacity on machines of other shard
@@ -106,7 +106,8 @@
 	return transfers.withoutArriving(out)
 }
 
-// withoutArriving reduces requests by the number of jobs that arriving machines will serve.
+// withoutArriving reduces requests by the jobs that arriving machines will serve, one for each
+// machine of an allowed kind.
 func (transfers *machineTransfers) withoutArriving(requests []exchange.TransferRequest) []exchange.TransferRequest {
 	arriving := transfers.arrivingKinds()
 	var out []exchange.TransferRequest
