--- a/cmd/micahill-lab/days_print.go
+++ b/cmd/micahill-lab/days_print.go
@@ -11,7 +11,8 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// errDaysFailed reports that a rule was broken or that a group was served too little.
+// errDaysFailed reports that a rule was broken, that a group was served too little, or that one of the
+// largest jobs started too late.
 var errDaysFailed = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest started too late")
 
 // formatStarts formats the longest waits of the largest jobs, in seconds: for a first task, and
@@ -58,7 +59,8 @@
 	return daysFailure(results)
 }
 
-// daysFailure returns errDaysFailed if a rule was broken or a group was served too little.
+// daysFailure returns errDaysFailed if a rule was broken, a group was served too little, or one of the
+// largest jobs started too late.
 func daysFailure(results []simulation.DayResult) error {
 	for i := range results {
 		if len(results[i].Violations) > 0 || len(results[i].Starved()) > 0 {
--- a/cmd/micahill-lab/overflow.go
+++ b/cmd/micahill-lab/overflow.go
@@ -134,7 +134,7 @@
 	began     time.Time
 	submitted []*labJob
 	// duplicated has the tasks that were seen in two clusters at once, and lent the jobs that a
-	// peer ran. The keys are their IDs at home.
+	// peer ran. The keys are their IDs in the home cluster.
 	duplicated, lent map[string]bool
 	faultInjected    bool
 	// healedAt is when the fault ends. Without a fault it is the start of the experiment.
@@ -277,7 +277,7 @@
 }
 
 // recordPlacements records the jobs that run at a peer, and the tasks that run in two clusters at
-// present.
+// the same time.
 func recordPlacements(labFleet *fleet.Fleet, duplicated, lent map[string]bool) {
 	placed := map[string]bool{}
 	for _, cluster := range labFleet.Clusters {
@@ -315,7 +315,7 @@
 		_ = exec.Command(options.Program, "drain", "--addr", peer.InternalAddrs[0], "--within", "20s").Run()
 	case "cut":
 		// The controllers of the home cluster are paused, so that neither side receives messages
-		// of the other.
+		// from the other.
 		home := labFleet.Clusters[0]
 		forEachController(home, home.Pause)
 		return func() { forEachController(home, home.Resume) }
--- a/cmd/micahill/status.go
+++ b/cmd/micahill/status.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// printMigrations prints the totals of the moves of replicas, and the moves in progress.
+// printMigrations prints the totals of the migrations of replicas, and the migrations in progress.
 func printMigrations(w io.Writer, migrations *message.MigrationsStatus) {
 	if migrations == nil || migrations.Plans+len(migrations.InProgress) == 0 {
 		return
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -78,7 +78,7 @@
 	options  Options
 	cancel   context.CancelFunc
 
-	// jobs holds every submitted job by its ID at home. Workers learn from it what to run.
+	// jobs holds every submitted job by its ID in its home cluster. Workers learn from it what to run.
 	// Guarded by mu.
 	mu   sync.Mutex
 	jobs map[string]Job
@@ -101,8 +101,8 @@
 	LongRunning bool
 }
 
-// ErrTooLarge means that Options ask for no cluster or controller, or for more than one machine
-// can run.
+// ErrTooLarge means that Options ask for no clusters or controllers, or for more of them than a
+// single host can run.
 var ErrTooLarge = errors.New("fleet: want 1 to 5 clusters of 1 to 19 controllers")
 
 // Start starts the clusters and waits until they are healthy. The caller has to call Stop.
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -60,7 +60,8 @@
 	mbPerController = 60
 	// mbPerOwnedWorker is the memory that the shard leader of a worker needs for it, in MB.
 	mbPerOwnedWorker = 0.12
-	// memoryFraction is the fraction of the machine's memory that all processes together may use.
+	// memoryFraction is the fraction of the machine's memory that all processes together may use:
+	// of the available memory before the start, and of the total memory during the measurement.
 	memoryFraction = 0.5
 )
 
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -23,7 +23,7 @@
 
 // TestMeasurement measures a small cluster of real controllers, one of which is killed. It guards
 // against measurements that miss workers, roles, counters or a phase. It checks that the counts
-// agree with each other, and no times, which depend on the load of the machine.
+// agree with each other. It does not check how long a phase takes, which depends on the load of the machine.
 func TestMeasurement(t *testing.T) {
 	plan := smallPlan(t)
 	plan.Program = filepath.Join(t.TempDir(), "micahill")
--- a/internal/lab/scale/snapshot.go
+++ b/internal/lab/scale/snapshot.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// setRoles sets the present role of each controller and the resources that it used between two
+// setRoles sets the current role of each controller and the resources that it used between two
 // snapshots.
 func (load *workload) setRoles(ctx context.Context, measurement *Measurement, before, after snapshot) error {
 	seconds := after.at.Sub(before.at).Seconds()
--- a/internal/listen/ports.go
+++ b/internal/listen/ports.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// minRetryPause and maxRetryPause limit the pause between two attempts to listen. The pause doubles after
-	// each attempt.
+	// minRetryPause and maxRetryPause limit the pause between two attempts to listen. The pause
+	// doubles after each attempt.
 	minRetryPause = 20 * time.Millisecond
 	maxRetryPause = 2 * time.Second
 	// logInterval is the shortest time between two log lines about the same address.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,8 +17,8 @@
 	// requestQueueLen is the largest number of requests that may wait for a step. Ask refuses
 	// further requests.
 	requestQueueLen = 1024
-	// responseQueueLen is the largest number of responses of other services that may wait for a
-	// step. Post blocks while there are as many.
+	// responseQueueLen is the largest number of commands without a reply, such as responses of
+	// other services and peer updates, that may wait for a step. Post blocks while there are as many.
 	responseQueueLen = 1024
 	// maxBatch is the largest number of commands in one step.
 	maxBatch = 256
@@ -30,7 +30,7 @@
 var ErrBusy = errors.New("server: request queue full")
 
 // EffectHandlers are the functions that execute effects. Store, Cloud and Worker run in a goroutine
-// for each effect and may block. Run calls all others between two steps, and they must not block.
+// for each effect and may block. Run calls all others itself after a step, and they must not block.
 type EffectHandlers struct {
 	Store          func(context.Context, message.StoreRequest) message.StoreResponse
 	Cloud          func(context.Context, message.CloudRequest) message.CloudResponse
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// IsAmount reports whether f is a finite number from 0 to MaxAmount.
+// IsAmount reports whether amount is a finite number from 0 to MaxAmount.
 func IsAmount(amount float64) bool { return amount >= 0 && amount <= MaxAmount }
 
 // Amount requires a finite number from 0 to MaxAmount.
