--- a/cmd/micahill/status.go
+++ b/cmd/micahill/status.go
@@ -103,8 +103,9 @@
 	return roles
 }
 
-// printShards prints the owners of the teams, the leaders of the shards, and the number of tasks
-// that run on machines of other shard leaders.
+// printShards prints the owners of the teams, the leaders of the shards, the number of tasks of this
+// controller's teams on machines of other controllers, and the number of tasks of other controllers'
+// teams on machines of this controller.
 func printShards(w io.Writer, status *message.StatusReply) {
 	if len(status.Teams) > 1 {
 		fmt.Fprintln(w, "\nTEAM\tOWNER\tCPU HERE")
