--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -7,8 +7,8 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// TestUserReplyDeadline checks that an answer that depends on a read is sent only while its user
-// waits for it, even if the sender is suspended before sending. A later answer could contradict
+// TestUserReplyDeadline checks that a reply that depends on a read is sent only while its user
+// waits for it, even if the sender is suspended before sending. A later reply could contradict
 // what another controller has reported since. Final states and refusals are sent at any time.
 func TestUserReplyDeadline(t *testing.T) {
 	controller := largePool(1)
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -28,8 +28,8 @@
 
 // TestDrainIsFenced checks that a write of the cluster's drain compares the revision of the
 // drain record that the controller knows. Without the compare, a delayed write of an older
-// switch replaces a newer one, and the answer to an older write undoes a newer record that the
-// watch has delivered.
+// switch replaces a newer one, and the response to an older write undoes a newer record that
+// the watch has delivered.
 func TestDrainIsFenced(t *testing.T) {
 	controller := largePool(0)
 	controller.handleCommand(message.DrainCommand{Reply: 1, Enabled: true, Deadline: controller.now})
@@ -43,7 +43,7 @@
 	if want := (message.Compare{Key: record.DrainKey, ModRevision: 10}); !slices.Equal(request.Compares, []message.Compare{want}) {
 		t.Errorf("got compares %v of the second switch, want the revision of the first switch", request.Compares)
 	}
-	// The watch delivers a newer record before the answer arrives.
+	// The watch delivers a newer record before the response arrives.
 	controller.membership.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: record.Encode(record.Drain{Enabled: true}), ModRevision: 12})
 	controller.answerStore(request, message.StoreResponse{Status: message.StoreOK, Revision: 11})
 	if !controller.membership.drain.Enabled {
@@ -53,7 +53,7 @@
 
 // TestDrainAnswers checks the reply to an operator when the compares of a drain write did not
 // hold. The reply is durable if the stored record equals the requested one, as after a first
-// answer that was lost, and otherwise not applied.
+// response that was lost, and otherwise not applied.
 func TestDrainAnswers(t *testing.T) {
 	deadline := time.Unix(1_750_000_600, 0)
 	for _, tc := range []struct {
--- a/internal/controller/format_steps_test.go
+++ b/internal/controller/format_steps_test.go
@@ -26,7 +26,7 @@
 	durable map[int]taskState
 	// writtenSized are the tasks whose newest record is in a sized segment.
 	writtenSized map[int]bool
-	// lateWrite is a write in the former format that has no answer, or nil.
+	// lateWrite is a write in the former format that got no response, or nil.
 	lateWrite *lateSegmentWrite
 }
 
@@ -47,7 +47,7 @@
 	return steps
 }
 
-// position returns the seed and the present step, for messages.
+// position returns the seed and the current step, for messages.
 func (steps *formatSteps) position() string {
 	return fmt.Sprint("seed ", steps.seed, " step ", steps.steps)
 }
@@ -169,7 +169,7 @@
 
 // TestSizedSegmentsAfterAnySteps guards against task states that are lost or outdated after the
 // change to sized segments. The change comes at a random moment, a write in the former format
-// may get no answer and be applied at any later time, and successors take over in between. For
+// may get no response and be applied at any later time, and successors take over in between. For
 // every task the last durable state must count, each write must fit the lower limit, and no
 // record of the former format may be written again.
 func TestSizedSegmentsAfterAnySteps(t *testing.T) {
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -294,7 +294,7 @@
 }
 
 // TestCancelledRecordShrinksToFit guards against a job that can't be cancelled because its
-// description was written under a larger value limit than the present one.
+// description was written under a larger value limit than the current one.
 func TestCancelledRecordShrinksToFit(t *testing.T) {
 	spec := model.JobSpec{ID: formatTestJob, Team: "ops", Workload: "w", Tasks: 7, Need: model.Resources{CPU: 2}, Image: "img", ExpectedRunTime: time.Second}
 	for i := range 80 {
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -33,7 +33,7 @@
 	releaseMode string
 	// idempotencyKeys are the keys of all bookings so far. A key may be used once.
 	idempotencyKeys map[string]bool
-	// ignoredReplies are the heartbeats whose answers are not printed in full; see
+	// ignoredReplies are the heartbeats whose replies are not printed in full; see
 	// handleIgnoredReply.
 	ignoredReplies map[uint64]*scriptedWorker
 	// heartbeatCopies are the heartbeats to which the scenario gave a name, by that name.
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -305,8 +305,8 @@
 }
 
 // TestHeartbeatUnderEarlierEpoch checks that a newer heartbeat under an earlier epoch
-// updates the tasks of a known machine, but doesn't prove that the machine is alive at
-// present.
+// updates the tasks of a known machine, but doesn't prove that the machine is alive
+// now.
 func TestHeartbeatUnderEarlierEpoch(t *testing.T) {
 	c := largePool(12)
 	m, _ := machineWithTask(c)
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -134,8 +134,8 @@
 	line.run(record.DurationOfSeconds(line.number("for", seconds)))
 }
 
-// boot starts a controller. late=(text): store requests that contain the text get no answer and
-// are executed at deliver. lose=(text): such requests are executed and get no answer.
+// boot starts a controller. late=(text): store requests that contain the text get no response and
+// are executed at deliver. lose=(text): such requests are executed and get no response.
 func (line *scenarioLine) boot() {
 	node := line.start(line.firstArgument())
 	for _, mode := range []string{"late", "lose"} {
@@ -282,7 +282,7 @@
 	}
 }
 
-// heartbeat sends one heartbeat. If the answer has a higher epoch, the worker sends the next
+// heartbeat sends one heartbeat. If the reply has a higher epoch, the worker sends the next
 // heartbeat at once, unless the line has the argument once. as=name: keeps a copy, which the
 // command late sends.
 func (line *scenarioLine) heartbeat() {
@@ -319,10 +319,10 @@
 	line.run(0)
 }
 
-// keepReporting makes a worker repeat its heartbeat periodically. deaf: no answer or command
+// keepReporting makes a worker repeat its heartbeat periodically. deaf: no reply or command
 // reaches the worker. off: ends the repetition.
 func (line *scenarioLine) keepReporting() {
-	worker, node, data := line.worker(), line.node, *line.data // a copy, since datadriven reuses d
+	worker, node, data := line.worker(), line.node, *line.data // a copy, since datadriven reuses line.data
 	worker.repeat = func() {
 		heartbeat := line.newHeartbeat(&data, worker)
 		line.pushRequest(node, "", func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: heartbeat} })
--- a/internal/controller/scripted_store_test.go
+++ b/internal/controller/scripted_store_test.go
@@ -11,13 +11,13 @@
 )
 
 // storeRule decides the outcome of store requests whose text contains a string. The modes are
-// "refuse"; "lose" (executed, no answer); "late" (no answer, executed at deliver); "hold"
+// "refuse"; "lose" (executed, no response); "late" (no response, executed at deliver); "hold"
 // (executed and answered at deliver); and "gone" (once: the watch starts at a compacted
 // revision).
 type storeRule struct{ mode, contains string }
 
 // heldRequest is a request that is executed at deliver. exec passes the store's response to
-// done, even if the controller gets no answer.
+// done, even if the controller gets no response.
 type heldRequest struct {
 	text string
 	exec func(done func(message.StoreResponse))
@@ -128,7 +128,7 @@
 	return response
 }
 
-// rentMachines rents out up to op.Count machines within maxMachines, and prints an idempotency
+// rentMachines rents out up to request.Count machines within maxMachines, and prints an idempotency
 // key that is used a second time.
 func (harness *harness) rentMachines(request message.CloudRequest, response *message.CloudResponse) {
 	if harness.idempotencyKeys[request.IdempotencyKey] {
--- a/internal/controller/scripted_worker_test.go
+++ b/internal/controller/scripted_worker_test.go
@@ -21,7 +21,7 @@
 	epoch uint64
 	// failed, released and unlisted decide how the cloud lists the machine.
 	failed, released, unlisted bool
-	// unreachable: the heartbeats of a kept worker arrive, but no answer or command reaches the
+	// unreachable: the heartbeats of a kept worker arrive, but no reply or command reaches the
 	// worker.
 	unreachable bool
 	// repeat sends the heartbeat of a kept worker again, with the scenario arguments in
@@ -65,8 +65,8 @@
 	node.push(message.WorkerResponse{ID: request.ID, OK: true, Heartbeat: &heartbeat})
 }
 
-// handleHeartbeatReply gives the worker the epoch of an answer to its heartbeat, and prints the
-// answer.
+// handleHeartbeatReply gives the worker the epoch of a reply to its heartbeat, and prints the
+// reply.
 func (node *harnessController) handleHeartbeatReply(reply message.HeartbeatReply) {
 	harness := node.harness
 	if worker := harness.ignoredReplies[reply.Reply]; worker != nil {
@@ -79,11 +79,11 @@
 	if reply.Status == 200 {
 		switch {
 		case worker == nil:
-			// The heartbeat was a copy, so no worker waits for the answer.
+			// The heartbeat was a copy, so no worker waits for the reply.
 		case reply.Epoch < worker.epoch:
 			text += " dropped"
 		case reply.Epoch > worker.epoch && worker.resend != nil:
-			// The worker reports a higher epoch at once, and the answer to that
+			// The worker reports a higher epoch at once, and the reply to that
 			// heartbeat is printed instead.
 			worker.epoch = reply.Epoch
 			worker.reported = worker.resend()
@@ -99,8 +99,8 @@
 	harness.print(fmt.Sprintf("%s %s", node.replyNames[reply.Reply], text))
 }
 
-// handleIgnoredReply handles an answer to the heartbeat of a kept worker. It prints only
-// commands that start a task, and answers that do not reach the worker.
+// handleIgnoredReply handles a reply to the heartbeat of a kept worker. It prints only
+// commands that start a task, and replies that do not reach the worker.
 func (harness *harness) handleIgnoredReply(worker *scriptedWorker, reply message.HeartbeatReply) {
 	if worker.unreachable {
 		harness.printOnce(fmt.Sprintf("%s %d in vain", worker.id, reply.Status))
@@ -167,7 +167,7 @@
 	return out
 }
 
-// uintArg stores the argument key in v if the scenario line has it.
+// uintArg stores the argument key in value if the scenario line has it.
 func uintArg(t *testing.T, data *datadriven.TestData, key string, value *uint64) {
 	t.Helper()
 	if data.HasArg(key) {
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -113,7 +113,7 @@
 // TestLeaseRestartsUnderNewEpoch guards against counting a worker's lease as expired too early.
 // A machine with a new epoch may have had another owner in between, and a machine without a
 // heartbeat that has another owner's tasks may have been answered by its former owner. Both
-// leases must count from the last possible answer.
+// leases must count from the last possible reply.
 func TestLeaseRestartsUnderNewEpoch(t *testing.T) {
 	controller := twoControllers(t)
 	machine := controller.shardLeader.machinesByID[0]
@@ -220,7 +220,7 @@
 	controller.putShard(t, "a", "a", 8, true, "ops")
 	controller.putShard(t, "b", "b", 8, false, "lab")
 	controller.syncShardLeader()
-	// The start of the attempt got no answer.
+	// The start of the attempt got no response.
 	machine.unackedStartEpoch, machine.seenEpoch = machine.epoch, machine.epoch
 	if controller.shardLeader.jobs[spec.ID] != nil || machine.isEmpty() || machine.otherShardsUsed.CPU != 3 {
 		t.Fatalf("after the hand-over: got resources of others' tasks %v, empty %v; want 3 CPU and false", machine.otherShardsUsed, machine.isEmpty())
@@ -256,7 +256,7 @@
 }
 
 // TestRemoteStateNeedsCurrentEpoch guards against applying outdated reports of remote attempts:
-// a report about a machine counts only from the machine's owner and under its present epoch.
+// a report about a machine counts only from the machine's owner and under its current epoch.
 func TestRemoteStateNeedsCurrentEpoch(t *testing.T) {
 	controller := twoControllers(t)
 	controller.putSegment(t, "b", 5, "vm-000077")
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -22,7 +22,7 @@
 
 // TestMalformedIsNotResent guards against resending a request that the store refuses each time
 // for its size or form. It would use up the request rate, and everything that depends on it
-// would wait for ever.
+// would wait forever.
 func TestMalformedIsNotResent(t *testing.T) {
 	controller := largePool(0)
 	var statuses []message.StoreStatus
@@ -161,7 +161,7 @@
 	if err != nil || len(commands) == 0 || len(body) > sizelimit.MaxBodyBytes {
 		t.Errorf("got %d commands in %d bytes (error %v), want some in at most %d", len(commands), len(body), err, sizelimit.MaxBodyBytes)
 	}
-	// The other commands follow with the answer to the next heartbeat, which lists the remaining
+	// The other commands follow with the reply to the next heartbeat, which lists the remaining
 	// tasks.
 	heartbeat.Sequence, heartbeat.Tasks = 10, heartbeat.Tasks[len(commands):]
 	controller.shardLeader.heartbeats.applyHeartbeat(machine, heartbeat, true)
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -55,7 +55,7 @@
 }
 
 // BenchmarkTakeover measures the recovery of a new shard leader from its last read of records to
-// its first response to a heartbeat.
+// its first reply to a heartbeat.
 func BenchmarkTakeover(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/exchange/transfer_test.go
+++ b/internal/exchange/transfer_test.go
@@ -23,7 +23,7 @@
 	transferredAt map[string][]time.Time
 }
 
-// modelMachine is a machine of the model with its present owner.
+// modelMachine is a machine of the model with its current owner.
 type modelMachine struct {
 	id, host   string
 	kind       Kind
--- a/internal/migration/find_test.go
+++ b/internal/migration/find_test.go
@@ -271,8 +271,9 @@
 	t.Log("plans by length:", lengths, "cost", boundedSum, "exhaustive", exhaustiveSum)
 }
 
-// newFleet returns a problem with the given number of hosts. Each host has eight GPUs, five replicas on
-// average and about free GPUs free. No host is empty. The waiting task needs want GPUs.
+// newFleet returns a problem with the given number of hosts. Each host has eight GPUs and five
+// replicas on average; the average number of free GPUs is about free. No host is empty. The waiting task
+// needs want GPUs.
 func newFleet(hosts int, seed uint64, free float64, want float64) *Problem {
 	random := rand.New(rand.NewPCG(seed, 1))
 	size := resource.Resources{CPU: 64, GPU: 8, Memory: 512}
--- a/internal/migration/tracker_model_test.go
+++ b/internal/migration/tracker_model_test.go
@@ -57,7 +57,7 @@
 	version uint64
 	// modRevision is the revision of the record that the write expects.
 	modRevision int
-	// abandoned is true if the model no longer waits for the answer.
+	// abandoned is true if the model no longer waits for the response.
 	abandoned bool
 }
 
@@ -380,7 +380,7 @@
 	model.pendingWrites = append(model.pendingWrites, pendingWrite{value: value, version: version, modRevision: model.modRevision})
 }
 
-// answerWrite applies one of the writes in flight, refuses it, or abandons it without an answer.
+// answerWrite applies one of the writes in flight, refuses it, or abandons it without a response.
 func (model *leaderModel) answerWrite(t *rapid.T) {
 	if len(model.pendingWrites) == 0 {
 		return
@@ -395,7 +395,7 @@
 		model.pendingWrites = slices.Delete(model.pendingWrites, i, i+1)
 		model.receiveAnswer(write, false)
 	case 3:
-		// The write gets no answer and may be applied later.
+		// The write gets no response and may be applied later.
 		if !write.abandoned {
 			model.pendingWrites[i].abandoned = true
 			model.tracker.WriteUncertain("team", model.now)
@@ -403,7 +403,7 @@
 	}
 }
 
-// receiveAnswer passes the answer of a write to the tracker unless the write has been abandoned.
+// receiveAnswer passes the response to a write to the tracker unless the write has been abandoned.
 func (model *leaderModel) receiveAnswer(write pendingWrite, ok bool) {
 	switch {
 	case write.abandoned:
--- a/internal/overflow/model_test.go
+++ b/internal/overflow/model_test.go
@@ -138,8 +138,8 @@
 	rng                                     *rand.Rand
 }
 
-// modelEvent is a function that runs at a later time. Events of one time run in the
-// order of seq.
+// modelEvent is a function that runs at a later time. Events that are due at the
+// same time run in the order of seq.
 type modelEvent struct {
 	at  time.Time
 	seq int
@@ -238,7 +238,7 @@
 }
 
 // TestModel simulates random days of lending with faults. It checks that no job runs in
-// two clusters, ends twice or is lost, and that no borrower keeps a loan for ever.
+// two clusters, ends twice or is lost, and that no borrower keeps a loan forever.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { simulateDay(rapidChooser{t}, omittedRules{}) })
 }
--- a/internal/remote/registry_test.go
+++ b/internal/remote/registry_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// sendHeartbeat delivers a heartbeat of the machine to its present owner.
+// sendHeartbeat delivers a heartbeat of the machine to its current owner.
 func (model *ownerModel) sendHeartbeat(t *rapid.T) {
 	if !model.alive {
 		return
@@ -134,7 +134,7 @@
 			}
 		},
 		"add duplicate start": func(t *rapid.T) {
-			// A live but absent attempt is started again, under the present epoch.
+			// A live but absent attempt is started again, under the current epoch.
 			for _, attempt := range model.liveAttempts() {
 				if _, ok := model.present[attempt]; model.machineIsOwn && !ok {
 					model.commands = append(model.commands, startCommand{attempt, model.epoch})
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestLaggingReaderSeesLowerEpochs guards against two owners of a machine that use the same epoch: a reader that
-// lags behind must see the present owner, or a lower epoch than the present owner has.
+// TestLaggingReaderSeesLowerEpochs guards against two owners of a machine that use the same
+// epoch: a reader that lags behind must see the current owner, or a lower epoch than the current
+// owner has.
 func TestLaggingReaderSeesLowerEpochs(t *testing.T) {
 	sim := newSimulation(testLimits, 3, 4)
 	sim.planUntilStable(t)
@@ -102,8 +103,8 @@
 	sim.checkComplete(t)
 }
 
-// TestReturningControllerGetsTeams checks that a controller that comes back gets teams within a minute, and that
-// nothing moves afterwards.
+// TestReturningControllerGetsTeams checks that a controller that comes back gets teams within
+// a minute, and that nothing moves afterwards.
 func TestReturningControllerGetsTeams(t *testing.T) {
 	for _, teams := range []int{1, 2, 3, 4, 9, 50} {
 		t.Run(fmt.Sprint(teams), func(t *testing.T) {
@@ -264,7 +265,8 @@
 	}
 }
 
-// TestMachineNamesSurviveEncoding checks that machine names of any form are the same after encoding and decoding.
+// TestMachineNamesSurviveEncoding checks that machine names of any form are the same after
+// encoding and decoding.
 func TestMachineNamesSurviveEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.OneOf(
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -108,7 +108,7 @@
 }
 
 // TestExecuteWithoutAnswer guards against confusing two failures: a request that was not sent was not
-// executed, while a request without an answer may have been executed.
+// executed, while a request without a response may have been executed.
 func TestExecuteWithoutAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
