--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -9,7 +9,8 @@
 
 // TestUserReplyDeadline checks that a reply that depends on a read is sent only while its user
 // waits for it, even if the sender is suspended before sending. A later reply could contradict
-// what another controller has reported since. Final states and refusals are sent at any time.
+// what another controller has reported since. Final states and 503 replies are sent at any
+// time.
 func TestUserReplyDeadline(t *testing.T) {
 	controller := largePool(1)
 	for _, tc := range []struct {
--- a/internal/controller/retries_test.go
+++ b/internal/controller/retries_test.go
@@ -9,10 +9,10 @@
 )
 
 // TestRetriesBesideOutlastingTasks guards against a job that fails everywhere and occupies many
-// machines, and against a working job that waits although its tasks run. The job may try as many
-// more tasks as it has tasks that, according to their machines' heartbeats, have run longer than
-// its failed attempts. Otherwise it may try one task after the backoff, if its live tasks have run
-// for faultattribution.MinProofRun.
+// machines, and against a working job that waits although its tasks run. The job may have one
+// further live task for each task that, according to its machine's heartbeats, has run longer than
+// the job's failed attempts. Otherwise it may try one task after the backoff, if its live tasks
+// have run for faultattribution.MinProofRun.
 func TestRetriesBesideOutlastingTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name string
--- a/internal/migration/evacuations_test.go
+++ b/internal/migration/evacuations_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestEvacuations checks the requests for drawn needs and costs. Each shard leader that needs a host
-// gets one request at a time, for a kind that it needs. The request goes to the shard leader with the
-// lowest cost that needs no host itself, and it ends with the need.
+// gets one request at a time, for a kind that it needs. Of the shard leaders that need no host
+// themselves, have no other request and are not in backoff, the one with the lowest cost gets the
+// request. The request ends with the need.
 func TestEvacuations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var evacuations Evacuations
--- a/internal/overflow/model_day_test.go
+++ b/internal/overflow/model_day_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// injectFault applies the fault or the user's action with number k; large numbers do nothing.
+// injectFault applies the fault or the user's action with a number; large numbers do nothing.
 // The even number 2n and the odd number 2n+1 cause the same fault of the first and of
 // the second borrower.
 func (sim *modelSim) injectFault(number int) {
