--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// cloudListPage is the maximum number of machines in one answer of the cloud.
+	// cloudListPage is the maximum number of machines in one response of the cloud.
 	cloudListPage = 500
 	// failedListLag is how long the cloud still lists a machine as running after the machine died.
 	failedListLag = 30 * time.Second
@@ -118,7 +118,7 @@
 	return machine
 }
 
-// releaseMachines returns machines to the cloud and ends all tasks on them. It ignores unknown and
+// releaseMachines releases machines to the cloud and ends all tasks on them. It ignores unknown and
 // released machines.
 func (world *World) releaseMachines(ids []string) message.CloudStatus {
 	if len(ids) > maxReleaseCount {
--- a/internal/simulation/controller_process.go
+++ b/internal/simulation/controller_process.go
@@ -14,9 +14,9 @@
 // the effects that the controller emits.
 
 const (
-	// workerTimeout is how long a controller waits for a worker's answer to a direct request.
+	// workerTimeout is how long a controller waits for a worker's response to a direct request.
 	workerTimeout = 2 * time.Second
-	// cloudTimeout is how long a controller waits for an answer of the cloud.
+	// cloudTimeout is how long a controller waits for a response of the cloud.
 	cloudTimeout = 5 * time.Second
 )
 
--- a/internal/simulation/live_counts.go
+++ b/internal/simulation/live_counts.go
@@ -14,9 +14,9 @@
 // LiveCounts has the counters of a Live since its start. Bytes are counted on the connections,
 // headers included.
 type LiveCounts struct {
-	// Heartbeats counts heartbeats by the HTTP status of their answer; 0 stands for no answer.
+	// Heartbeats counts heartbeats by the HTTP status of their reply; 0 stands for no reply.
 	Heartbeats map[int]int `json:"reports"`
-	// HeartbeatBytesOut and HeartbeatBytesIn are the bytes of heartbeats and of their answers.
+	// HeartbeatBytesOut and HeartbeatBytesIn are the bytes of heartbeats and of their replies.
 	HeartbeatBytesOut int64 `json:"report_bytes_out"`
 	HeartbeatBytesIn  int64 `json:"report_bytes_in"`
 	// Commands counts direct requests to workers by path. CommandBytesOut and CommandBytesIn are
--- a/internal/simulation/live_worker.go
+++ b/internal/simulation/live_worker.go
@@ -59,7 +59,7 @@
 	return object
 }
 
-// decodeCommands decodes the task commands in a request to a worker or in the answer to a
+// decodeCommands decodes the task commands in a request to a worker or in the reply to a
 // heartbeat.
 func decodeCommands(v any) []model.TaskCommand {
 	var out []model.TaskCommand
@@ -102,7 +102,7 @@
 	})
 }
 
-// postHeartbeat sends a worker's heartbeat over HTTP and handles the answer, in a goroutine of its
+// postHeartbeat sends a worker's heartbeat over HTTP and handles the reply, in a goroutine of its
 // own. The caller holds live.mu.
 func (live *Live) postHeartbeat(machine *Worker) {
 	sent, incarnation, to := live.world.now, machine.incarnation, machine.controller
@@ -138,7 +138,7 @@
 }
 
 // postHeartbeatBody posts an encoded heartbeat to the controller at addr. It returns the HTTP status, or 0
-// if there was no answer, and the decoded body.
+// if there was no reply, and the decoded body.
 func (live *Live) postHeartbeatBody(client *http.Client, addr string, body []byte) (status int, answer obj) {
 	ctx, cancel := context.WithTimeout(live.requests, heartbeatTimeout)
 	defer cancel()
--- a/internal/simulation/partial_faults.go
+++ b/internal/simulation/partial_faults.go
@@ -11,7 +11,7 @@
 // This file has partial failures: machines that can send but not receive messages, heartbeats that
 // arrive a second time much later, and processes that restart within a fraction of a second.
 
-// MakeUnreachable keeps all messages to machines, answers as well as commands, from arriving for
+// MakeUnreachable keeps all messages to machines, replies as well as commands, from arriving for
 // the given duration. Messages from the machines still arrive. With holdMessages the messages to
 // the machines are delivered afterwards, otherwise they are lost.
 func (world *World) MakeUnreachable(ids []string, duration time.Duration, holdMessages bool) {
@@ -36,7 +36,7 @@
 }
 
 // CopyHeartbeats makes a fraction of the heartbeats that are sent during the given duration arrive
-// a second time at a random controller, with a delay between a second and longest. The answers to
+// a second time at a random controller, with a delay between a second and longest. The replies to
 // the copies are dropped.
 func (world *World) CopyHeartbeats(fraction float64, longest, duration time.Duration) {
 	world.heartbeatCopyRate, world.heartbeatCopyMaxDelay, world.heartbeatCopiesUntil = fraction, longest, world.now.Add(duration)
--- a/internal/simulation/protocol_faults.go
+++ b/internal/simulation/protocol_faults.go
@@ -63,8 +63,8 @@
 	case "cut_alone":
 		world.IsolateController(process.index, fault.Duration, fault.Link == "refused", fault.HoldMessages)
 	case "election":
-		// Crash the leader, after Delay the leader of that time, and after another Delay again the
-		// leader or, with HoldMessages, all controllers.
+		// Crash the leader now, and the leader of that time after Delay and after twice Delay. With
+		// HoldMessages the last crash hits all controllers.
 		world.CrashController(world.leaderIndex(fault.Controller), fault.RestartAfter)
 		world.schedule(fault.Delay, func() { world.CrashController(world.leaderIndex(fault.Controller), fault.RestartAfter) })
 		world.schedule(2*fault.Delay, func() {
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -28,7 +28,7 @@
 	// transaction.
 	maxKeyBytes = 200
 	maxTxnBytes = 64 << 10
-	// maxPageRows is the maximum number of rows in the answer to a list request.
+	// maxPageRows is the maximum number of rows in the response to a list request.
 	maxPageRows = 1000
 )
 
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -366,7 +366,7 @@
 	return model.Team{}
 }
 
-// checkReplySize checks that the answer to a heartbeat does not exceed maxBodyBytes.
+// checkReplySize checks that the reply to a heartbeat does not exceed maxBodyBytes.
 func (world *World) checkReplySize(reply message.HeartbeatReply) {
 	size := 0
 	for _, command := range reply.Commands {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -14,7 +14,7 @@
 const (
 	// minHeartbeatInterval is the shortest time between two heartbeats of a machine.
 	minHeartbeatInterval = 500 * time.Millisecond
-	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	// heartbeatTimeout is how long a worker waits for the reply to a heartbeat.
 	heartbeatTimeout = 4 * time.Second
 	// heartbeatRetryPause is how long a worker waits after a failed heartbeat before it sends one
 	// to the next controller.
@@ -73,7 +73,7 @@
 	sequence    uint64
 	epoch       uint64
 	// leaseStart is the time from which the worker lease counts: when the worker sent the last
-	// heartbeat whose answer renewed the lease.
+	// heartbeat whose reply renewed the lease.
 	leaseStart time.Time
 	// images is the time at which the fetch of each image ends or ended.
 	images map[string]time.Time
@@ -140,7 +140,7 @@
 }
 
 // executeCommands executes task commands on a worker, in their order. A command that does not apply
-// to the present state of its attempt has no effect.
+// to the state of its attempt has no effect.
 func (world *World) executeCommands(machine *Worker, commands []model.TaskCommand) {
 	for _, command := range commands {
 		key := fmt.Sprintf("%s#%d", taskName(command.Job, command.Index), command.Attempt)
@@ -302,7 +302,7 @@
 	}
 }
 
-// sendHeartbeat sends a worker's heartbeat to its controller and handles the answer. If no answer
+// sendHeartbeat sends a worker's heartbeat to its controller and handles the reply. If no reply
 // arrives within heartbeatTimeout, the worker sends its next heartbeat to the next controller.
 func (world *World) sendHeartbeat(machine *Worker) {
 	sent, incarnation, to, workerProcess := world.now, machine.incarnation, machine.controller, machine.process
@@ -329,7 +329,7 @@
 		process.deliverHeartbeat(heartbeat, func(effect message.Effect) {
 			reply := effect.(message.HeartbeatReply)
 			world.sendMessage(process.name, machine.ID, func() {
-				// An answer after the timeout is dropped.
+				// A reply after the timeout is dropped.
 				if !answered {
 					answered = true
 					world.takeHeartbeatReply(machine, reply, to, incarnation, sent)
@@ -339,7 +339,7 @@
 	})
 }
 
-// deliverHeartbeat passes a heartbeat to the controller and its answer to fn.
+// deliverHeartbeat passes a heartbeat to the controller and its reply to fn.
 func (process *controllerProcess) deliverHeartbeat(heartbeat model.Heartbeat, fn func(message.Effect)) {
 	process.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat} }, fn)
 }
@@ -352,7 +352,7 @@
 	machine.nextHeartbeatAt = world.now.Add(heartbeatRetryPause)
 }
 
-// takeHeartbeatReply handles the answer of controller to. incarnation is the worker's incarnation
+// takeHeartbeatReply handles the reply of controller to. incarnation is the worker's incarnation
 // at sent, when the worker sent the heartbeat.
 func (world *World) takeHeartbeatReply(machine *Worker, reply message.HeartbeatReply, to int, incarnation uint64, sent time.Time) {
 	owner := -1
--- a/internal/testgolden/testgolden.go
+++ b/internal/testgolden/testgolden.go
@@ -30,7 +30,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// update is the flag that makes Same rewrite the golden files.
+// update is the flag that makes CheckBytes rewrite the golden files.
 var update = flag.Bool("update", false, "rewrite the golden files")
 
 // lineBytes is the number of bytes that a line of a golden file encodes.
