--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -68,7 +68,7 @@
 	// invalidRequestsUntil and concurrentReadsUntil are the times until which users send invalid
 	// requests and concurrent reads.
 	invalidRequestsUntil, concurrentReadsUntil time.Time
-	// loseWriteResponses makes late writes execute at once, so that only their answers are lost.
+	// loseWriteResponses makes late writes execute at once, so that only their responses are lost.
 	loseWriteResponses bool
 	// replayToNextLeader makes the world keep copies of heartbeats in heldHeartbeats. The copies
 	// are sent when a controller other than leaderAtCapture is the leader, and dropped at
@@ -303,7 +303,7 @@
 func isFinal(state string) bool { return state == "done" || state == "cancelled" }
 
 // checkedRequest sends a request about an accepted job to one controller. The answer must agree
-// with what the user knew when he sent the request: the job exists, and a final state has not
+// with what the user knew when sending the request: the job exists, and a final state has not
 // changed.
 func (world *World) checkedRequest(to int, job *userJob, newCommand func(uint64) message.Command) {
 	id, lastState, requestedAt := job.spec.ID, job.lastState, world.now
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -43,7 +43,7 @@
 	Busiest bool `json:"busiest,omitempty"`
 	// Count is how many jobs are affected.
 	Count int `json:"count,omitempty"`
-	// Immediate makes late_writes execute the transactions at once and lose only their answers.
+	// Immediate makes late_writes execute the transactions at once and lose only their responses.
 	Immediate bool `json:"at_once,omitempty"`
 	// ForNextLeader makes copies keep the copies of heartbeats until another controller is the
 	// leader.
--- a/internal/simulation/run_day.go
+++ b/internal/simulation/run_day.go
@@ -10,10 +10,11 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// RunDay runs a day to its end. Jobs are submitted during the day's minutes, and served jobs are
-// counted three minutes later or after the last fault. The day ends when every job has had the time
-// in which it must start and its queries must be answered. Debug lines of the controllers are kept
-// if they contain one of the words of trace, a list separated by "|".
+// RunDay runs a day to its end. Jobs are submitted during the day's minutes. Served jobs are counted
+// three minutes later (see countServedAfter and extraCountTime), or a minute after the last fault if
+// that is later. After the time in which queries must be answered, the day ends when no job's outcome
+// can change, at the latest when every job has had the time in which it must start. Debug lines of
+// the controllers are kept if they contain one of the words of trace, a list separated by "|".
 func RunDay(day Day, trace string) DayResult { return day.run(trace, nil) }
 
 // run is RunDay with controllers that break rules on purpose if corrupt is not nil. corrupt
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -16,7 +16,7 @@
 const maxKeptChanges = 10000
 
 // StateService models the state service without the network: callers pass it requests and receive
-// its answers. It is not safe for concurrent use.
+// its responses. It is not safe for concurrent use.
 type StateService struct {
 	revision    uint64
 	records     map[string]*storedRecord
@@ -174,7 +174,7 @@
 	return service.limits != nil && service.limits.validate(request) != nil
 }
 
-// Do executes a request and calls answer with the response. The answer to a watch may come later,
+// Do executes a request and calls answer with the response. The response to a watch may come later,
 // from a call of another method. Without limits Do accepts requests of any size at any rate.
 func (service *StateService) Do(now time.Time, request message.StoreRequest, answer func(message.StoreResponse)) {
 	service.Expire(now)
@@ -232,9 +232,9 @@
 	answer(out)
 }
 
-// listPage is the maximum number of rows in the answer to a list request of a service without
-// limits. It is small so that tests read several pages. listBytes bounds the estimated size of an
-// answer; an answer has at least one row.
+// listPage is the maximum number of rows in the response to a list request of a service without
+// limits. It is small so that tests read several pages. listBytes bounds the estimated size of a
+// response; a response has at least one row.
 const (
 	listPage  = 100
 	listBytes = 512 << 10
--- a/internal/simulation/unlisted_faults.go
+++ b/internal/simulation/unlisted_faults.go
@@ -10,10 +10,10 @@
 
 // This file has the faults that the operators did not list: machines that become ready late or
 // never, users who query very often, jobs that always fail, a team that joins during the day,
-// repeated crashes, one-way partitions, slow answers, and workers that ignore or fail tasks.
+// repeated crashes, one-way partitions, slow responses, and workers that ignore or fail tasks.
 
 // disturbances is the state of the faults that slow the provisioning of machines, make users query
-// more often, or delay answers.
+// more often, or delay responses.
 type disturbances struct {
 	// slowProvisioningUntil is the time until which newly rented machines take provisioningFactor
 	// times as long to become ready. The fraction neverReadyFraction of these machines never
@@ -24,7 +24,7 @@
 	// pollStormUntil is the time until which users query pollFactor times as often.
 	pollStormUntil time.Time
 	pollFactor     float64
-	// slowAnswersUntil is the time until which answers of the cloud and the state service are
+	// slowAnswersUntil is the time until which responses of the cloud and the state service are
 	// delayed by up to answerDelay.
 	slowAnswersUntil time.Time
 	answerDelay      time.Duration
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -56,8 +56,8 @@
 	// ignoresStarts makes the worker ignore commands to start a task. It still sends heartbeats and
 	// executes other commands.
 	ignoresStarts bool
-	// reclaimAt is the time at which the cloud takes the machine back, or the zero time if it has
-	// announced none.
+	// reclaimAt is the time at which the cloud takes the machine back, or the zero time if the cloud
+	// has not announced a reclaim.
 	reclaimAt time.Time
 	// unreachableUntil is the time until which no message reaches the machine. With
 	// holdWhileUnreachable the messages are delivered afterwards, otherwise they are lost.
