--- a/internal/simulation/cancel_outage_test.go
+++ b/internal/simulation/cancel_outage_test.go
@@ -38,8 +38,8 @@
 		outage.lease, outage.cancelWithin, outage.controllers, outage.teams, outage.loss, outage.peersConnected, outage.leaderIsolatedFor, outage.outageFactor, outage.crash, outage.restartAfter)
 }
 
-// minRemainingLease is the least remaining time of the shard leader's lease when the shard leader loses the state
-// service. It renewed the lease at most a second before.
+// minRemainingLease is the least remaining time of the shard leader's lease when the shard leader loses the
+// state service. It renewed the lease at most a second before.
 const minRemainingLease = 3 * time.Second
 
 // run plays the day. It returns the violations, and whether the day covered its case: a job of the isolated
--- a/internal/simulation/checks_test.go
+++ b/internal/simulation/checks_test.go
@@ -124,8 +124,9 @@
 	}
 }
 
-// TestProtocolFaultDays plays days with protocol faults, one of them with models, and days on which users poll
-// 8, 30 and 100 times as often as usual, with 3 and 5 controllers. It guards against violations and starved jobs.
+// TestProtocolFaultDays plays days with protocol faults, one of them with models, and days on which users
+// poll 8, 30 and 100 times as often as usual, with 3 and 5 controllers. It guards against violations and
+// starved jobs.
 func TestProtocolFaultDays(t *testing.T) {
 	pollStorm := func(polls float64) []Fault {
 		return []Fault{{Kind: "polls", At: 20 * time.Second, Duration: time.Minute, Fraction: polls}}
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -245,8 +245,8 @@
 	readers.startBurst(id, fate)
 }
 
-// startBurst queries all controllers and resubmits the job within milliseconds. It also sends the cancellation of
-// the job if the user cancels the job at this fate.
+// startBurst queries all controllers and resubmits the job within milliseconds. It also sends the
+// cancellation of the job if the user cancels the job at this fate.
 func (readers *concurrentReaders) startBurst(id string, fate jobFate) {
 	readers.bursts[fate]++
 	for _, delay := range readDelays {
--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestDays plays days with one to nine teams, three to seven controllers and low limits. Two more days guard
-// against tasks that run twice without any fault: with two and three teams on so many machines, the machine names
-// of a shard exceed value_kb. To play more days:
+// against tasks that run twice without any fault: with two and three teams on so many machines, the machine
+// names of a shard exceed value_kb. To play more days:
 // MICAHILL_DAYS=300 go test ./internal/simulation -run TestDays
 func TestDays(t *testing.T) {
 	days := []DayParams{
--- a/internal/simulation/faulty_machines_test.go
+++ b/internal/simulation/faulty_machines_test.go
@@ -9,12 +9,12 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestJobWithFailuresOnFaultyMachines makes several machines of a job faulty at once, before any task of the job is
-// done, while at least one task runs on a healthy machine. It guards against the other tasks waiting although
-// healthy machines have free capacity. That happens if failures on three machines without a finished task count
-// as the job's own fault although a running task has lasted much longer than the failed ones: the controller logs
-// "job fails on every machine: backing off", tries one task at a time, and logs no "task placed" of the job while
-// that task runs.
+// TestJobWithFailuresOnFaultyMachines makes several machines of a job faulty at once, before any task of the
+// job is done, while at least one task runs on a healthy machine. It guards against the other tasks waiting
+// although healthy machines have free capacity. That happens if failures on three machines without a finished
+// task count as the job's own fault although a running task has lasted much longer than the failed ones: the
+// controller logs "job fails on every machine: backing off", tries one task at a time, and logs no "task
+// placed" of the job while that task runs.
 func TestJobWithFailuresOnFaultyMachines(t *testing.T) {
 	for _, faulty := range []int{3, 5} {
 		t.Run(fmt.Sprint(faulty), func(t *testing.T) {
@@ -40,11 +40,11 @@
 	}
 }
 
-// TestAlwaysFailingJobStartsAreBounded has a job whose tasks fail on every machine, at once or after exponentially
-// distributed times. It guards against a stream of useless starts. Apart from the first start of each task, and
-// while no task of the job is done, the job may start two tasks a minute at most: the controller retries one task
-// at a time, with long pauses, and starts another beside it only once the running task has lasted much longer
-// than all failed ones.
+// TestAlwaysFailingJobStartsAreBounded has a job whose tasks fail on every machine, at once or after
+// exponentially distributed times. It guards against a stream of useless starts. Apart from the first start
+// of each task, and while no task of the job is done, the job may start two tasks a minute at most: the
+// controller retries one task at a time, with long pauses, and starts another beside it only once the running
+// task has lasted much longer than all failed ones.
 func TestAlwaysFailingJobStartsAreBounded(t *testing.T) {
 	const tasks, minutes = 12, 20
 	for _, mean := range []time.Duration{0, 2 * time.Second, 10 * time.Second, 30 * time.Second} {
@@ -66,7 +66,8 @@
 	}
 }
 
-// failTasksRandomly makes running tasks of a job fail after exponentially distributed times with the given mean.
+// failTasksRandomly makes running tasks of a job fail after exponentially distributed times with the given
+// mean.
 func (world *World) failTasksRandomly(id string, mean time.Duration) {
 	const interval = 500 * time.Millisecond
 	var failSome func()
--- a/internal/simulation/held_command_test.go
+++ b/internal/simulation/held_command_test.go
@@ -20,8 +20,9 @@
 	executedLate, restarted int
 }
 
-// holdCommand holds the next command with task starts for the given duration, together with all other messages to its machine.
-// Messages from the machine still arrive. then is called with the command a second after it was sent.
+// holdCommand holds the next command with task starts for the given duration, together with all other
+// messages to its machine. Messages from the machine still arrive. then is called with the command a second
+// after it was sent.
 func (scenario *scenario) holdCommand(duration time.Duration, then func(message.WorkerRequest)) {
 	world := scenario.world
 	var held *heldCommand
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -10,9 +10,9 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// newLargeWorld returns a world whose cloud offers up to 1659 machines times scale. Its objectives are for the
-// workloads of submitAtScale: rush, with a bounded wait and a deadline, and wide, with large tasks and a bounded
-// time to finish.
+// newLargeWorld returns a world whose cloud offers up to 1659 machines times scale. Its objectives are for
+// the workloads of submitAtScale: rush, with a bounded wait and a deadline, and wide, with large tasks and a
+// bounded time to finish.
 func newLargeWorld(seed uint64, scale float64) *World {
 	settings := testSettings()
 	settings.Zones = []string{"a"}
@@ -31,8 +31,8 @@
 	}, map[string]int{"box/a/true": scaled(800), "box/a/false": scaled(700), "rack/a/true": scaled(100), "rack/a/false": scaled(59)})
 }
 
-// submitAtScale submits jobs at random times within the given duration: wide with large tasks, rush with short waits,
-// and reprint of medium size. The number of tasks of each job is multiplied by scale.
+// submitAtScale submits jobs at random times within the given duration: wide with large tasks, rush with
+// short waits, and reprint of medium size. The number of tasks of each job is multiplied by scale.
 func (world *World) submitAtScale(rng *rand.Rand, scale float64, duration time.Duration) {
 	kinds := []struct {
 		name   string
@@ -95,9 +95,9 @@
 	}
 }
 
-// TestLargeCluster plays faults in a large cluster: many machines die or hang at once, all controllers crash, and
-// the shard leader loses the state service. It guards against violations, against more writes than the limit of
-// the state service, and against jobs that are not done soon after the faults.
+// TestLargeCluster plays faults in a large cluster: many machines die or hang at once, all controllers crash,
+// and the shard leader loses the state service. It guards against violations, against more writes than the
+// limit of the state service, and against jobs that are not done soon after the faults.
 func TestLargeCluster(t *testing.T) {
 	const scale = 0.25
 	world := newLargeWorld(3, scale)
--- a/internal/simulation/lost_responses_test.go
+++ b/internal/simulation/lost_responses_test.go
@@ -64,8 +64,8 @@
 // TestLostResponses plays random days on which about every seventh transaction is applied but its response is
 // lost, while the rest of the system already acts on what it wrote. Rankings change, and promises and replica
 // migrations are enabled. It guards against a sender that takes an applied transaction for a failed one. No
-// invariant may be violated, reads and writes of each job's promised date must be linearizable, the totals must be
-// exact, and all jobs must end.
+// invariant may be violated, reads and writes of each job's promised date must be linearizable, the totals
+// must be exact, and all jobs must end.
 func TestLostResponses(t *testing.T) {
 	lost, mu := map[string]int{}, sync.Mutex{}
 	days := dayCount(t, 8, 3)
--- a/internal/simulation/lower_limits_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -59,10 +59,10 @@
 // lowerLimits makes the state service enforce the new limits.
 func (world *lowerLimitsWorld) lowerLimits() { world.state.SetLimits(world.newSettings) }
 
-// TestLowerLimitsWithUnseenReplacement replaces the last controller while it is partitioned from the state service until long
-// after the limits are lowered. The other controllers cannot learn that it runs the new version, so they go on
-// writing under the old limits. They may be refused only a few times before they adopt the new limits, and all
-// jobs must end.
+// TestLowerLimitsWithUnseenReplacement replaces the last controller while it is partitioned from the state
+// service until long after the limits are lowered. The other controllers cannot learn that it runs the new
+// version, so they go on writing under the old limits. They may be refused only a few times before they adopt
+// the new limits, and all jobs must end.
 func TestLowerLimitsWithUnseenReplacement(t *testing.T) {
 	world := newLowerLimitsWorld(7)
 	world.Run(time.Minute)
--- a/internal/simulation/margins_test.go
+++ b/internal/simulation/margins_test.go
@@ -184,11 +184,11 @@
 	}
 }
 
-// TestFreeCapacityOnMachineOfOtherShard has two teams in different shards and one machine, which can run the second
-// team's job beside the first team's long job. It guards against the second job waiting as long as the first
-// one runs. That happens if shard leaders request and offer idle machines only: the waiting shard leader asks
-// the leader for a big machine from the 60th second on, the cloud refuses it, and the leader answers
-// "surplus elsewhere: none" each second.
+// TestFreeCapacityOnMachineOfOtherShard has two teams in different shards and one machine, which can run the
+// second team's job beside the first team's long job. It guards against the second job waiting as long as the
+// first one runs. That happens if shard leaders request and offer idle machines only: the waiting shard
+// leader asks the leader for a big machine from the 60th second on, the cloud refuses it, and the leader
+// answers "surplus elsewhere: none" each second.
 func TestFreeCapacityOnMachineOfOtherShard(t *testing.T) {
 	types, _ := testTypes()
 	world := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1})
--- a/internal/simulation/models_fit_test.go
+++ b/internal/simulation/models_fit_test.go
@@ -12,10 +12,10 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestModelsFit submits models of one and two GPUs, many of which are cancelled later, and then models that need
-// a whole host each. Their teams are in different shards. There is capacity for all, but it is fragmented over
-// hosts and shards. It guards against large models that do not start in time, small models that lose replicas
-// to make capacity free, and too many writes of migration records.
+// TestModelsFit submits models of one and two GPUs, many of which are cancelled later, and then models that
+// need a whole host each. Their teams are in different shards. There is capacity for all, but it is
+// fragmented over hosts and shards. It guards against large models that do not start in time, small models
+// that lose replicas to make capacity free, and too many writes of migration records.
 func TestModelsFit(t *testing.T) {
 	const hosts = 12
 	for seed := uint64(1); seed <= 3; seed++ {
--- a/internal/simulation/models_test.go
+++ b/internal/simulation/models_test.go
@@ -21,8 +21,8 @@
 	// source and to are the source and the target machine of the first step of the first plan in the last
 	// migration record that a controller wrote, and host is the machine that this plan frees.
 	source, target, host string
-	// jobWithoutReplicas names the first small job that had no replica on a machine, with the time; it is empty if
-	// every small job always had one.
+	// jobWithoutReplicas names the first small job that had no replica on a machine, with the time; it is
+	// empty if every small job always had one.
 	jobWithoutReplicas string
 }
 
@@ -100,8 +100,8 @@
 		Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
-// watchJobsWithoutReplicas records the first small job without a replica on a machine. It checks once a tick from its
-// call on.
+// watchJobsWithoutReplicas records the first small job without a replica on a machine. It checks once a tick
+// from its call on.
 func (fragmented *fragmentedWorld) watchJobsWithoutReplicas() {
 	for _, id := range fragmented.smallJobs {
 		if fragmented.runningTasks(id) == 0 && fragmented.jobWithoutReplicas == "" {
--- a/internal/simulation/odd_jobs_test.go
+++ b/internal/simulation/odd_jobs_test.go
@@ -8,9 +8,9 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestUnusualJobs checks that unusual but valid jobs are accepted and done, each on machines that fit it, and that
-// jobs that can never run are refused. It also checks that a resubmission or a cancellation of an ended job is
-// answered with the state of the ended job, even if the resubmission is different or malformed.
+// TestUnusualJobs checks that unusual but valid jobs are accepted and done, each on machines that fit it, and
+// that jobs that can never run are refused. It also checks that a resubmission or a cancellation of an ended
+// job is answered with the state of the ended job, even if the resubmission is different or malformed.
 func TestUnusualJobs(t *testing.T) {
 	world := newTestWorld(11)
 	const run = 8 * time.Second
--- a/internal/simulation/partial_faults_test.go
+++ b/internal/simulation/partial_faults_test.go
@@ -118,7 +118,8 @@
 			if len(answered) != 2*test.jobs+40 {
 				t.Errorf("got answers about %d jobs, want %d", len(answered), 2*test.jobs+40)
 			}
-			// Each controller sends at most three reads and one list request per batch, and a batch lasts 150 ms.
+			// Each controller sends at most three reads and one list request per batch, and a batch lasts
+			// 150 ms.
 			if limit := 4 * len(world.controllers) * int(within/(150*time.Millisecond)); reads > limit {
 				t.Errorf("got %d reads of job records, want at most %d", reads, limit)
 			}
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// injectEarlyStart returns a corruption that starts a job's first task before its dependencies are done: it adds the
-// start to the first commands for any machine, and drops all commands that stop tasks of the job.
+// injectEarlyStart returns a corruption that starts a job's first task before its dependencies are done: it
+// adds the start to the first commands for any machine, and drops all commands that stop tasks of the job.
 func injectEarlyStart(id string) func(message.Effect) message.Effect {
 	start, startsLeft := model.TaskCommand{Kind: model.StartTask, Job: id, Attempt: 99}, 1
 	addStart := func(commands []model.TaskCommand) []model.TaskCommand {
@@ -203,9 +203,9 @@
 	checkNoViolations(t, world)
 }
 
-// TestPipelineCancelledAtTheEnd guards against a chain whose jobs disagree about a cancellation. The first job is
-// cancelled within 64 ms around the end of its last task, at one to three controllers. It may end as done or
-// cancelled, and all its dependents must end in the same state.
+// TestPipelineCancelledAtTheEnd guards against a chain whose jobs disagree about a cancellation. The first
+// job is cancelled within 64 ms around the end of its last task, at one to three controllers. It may end as
+// done or cancelled, and all its dependents must end in the same state.
 func TestPipelineCancelledAtTheEnd(t *testing.T) {
 	world := newTestWorldOfSize(7, 3)
 	first, _, _ := world.submitChain(10 * time.Second)
@@ -337,10 +337,10 @@
 	checkNoViolations(t, world)
 }
 
-// TestDependentWaitsForStoredEnd guards against a dependent that starts before the end of its dependency is stored.
-// The state service refuses the write that the job is done, while all tasks of the job are done and its shard
-// leader knows this. No dependent may start meanwhile, also if all controllers crash. Once the write
-// succeeds, the dependents must run.
+// TestDependentWaitsForStoredEnd guards against a dependent that starts before the end of its dependency is
+// stored. The state service refuses the write that the job is done, while all tasks of the job are done and
+// its shard leader knows this. No dependent may start meanwhile, also if all controllers crash. Once the
+// write succeeds, the dependents must run.
 func TestDependentWaitsForStoredEnd(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		world := newTestWorld(11)
@@ -377,8 +377,8 @@
 	}
 }
 
-// TestStartBeforeStoredEndIsDetected checks that checkDependencies reports a start of a dependent after all tasks of the
-// dependency are done but before the state service has stored its end.
+// TestStartBeforeStoredEndIsDetected checks that checkDependencies reports a start of a dependent after all
+// tasks of the dependency are done but before the state service has stored its end.
 func TestStartBeforeStoredEndIsDetected(t *testing.T) {
 	world := newTestWorld(3)
 	jobA, jobB, _ := world.submitChain(10 * time.Second)
--- a/internal/simulation/scenario_faults_test.go
+++ b/internal/simulation/scenario_faults_test.go
@@ -97,8 +97,8 @@
 	return 0
 }
 
-// recordStartsOnUnreachable records, from this call on, the attempts that controllers try to start on the machines while
-// they are unreachable.
+// recordStartsOnUnreachable records, from this call on, the attempts that controllers try to start on the
+// machines while they are unreachable.
 func (scenario *scenario) recordStartsOnUnreachable(ids []string) {
 	scenario.unreachable, scenario.startedUnreachable = map[string]bool{}, map[string]bool{}
 	for _, id := range ids {
--- a/internal/simulation/small_jobs_test.go
+++ b/internal/simulation/small_jobs_test.go
@@ -24,8 +24,8 @@
 	acceptTimes []time.Duration
 }
 
-// newSmallJobStream returns a stream without jobs in a world of 150 machines, whose state service takes 80 requests
-// and writesPerSecond writes a second.
+// newSmallJobStream returns a stream without jobs in a world of 150 machines, whose state service takes 80
+// requests and writesPerSecond writes a second.
 func newSmallJobStream(seed uint64, writesPerSecond float64) *smallJobStream {
 	settings := testSettings()
 	settings.Zones, settings.Teams = []string{"a"}, []model.Team{{Name: "ops"}}
@@ -80,11 +80,11 @@
 	return open, tasks
 }
 
-// TestSmallJobs submits four one-task jobs a second for three minutes and cancels a quarter of them, at limits of
-// 80 requests and 30 writes a second, and of 20 writes a second, which the jobs use up. It guards against slow
-// answers to submissions, jobs that do not end, records that are left behind, and needless writes. A job needs
-// one write for its acceptance, one for each start, two for its end, one more if it is cancelled, and one to
-// remove the record of its task.
+// TestSmallJobs submits four one-task jobs a second for three minutes and cancels a quarter of them, at
+// limits of 80 requests and 30 writes a second, and of 20 writes a second, which the jobs use up. It guards
+// against slow answers to submissions, jobs that do not end, records that are left behind, and needless
+// writes. A job needs one write for its acceptance, one for each start, two for its end, one more if it is
+// cancelled, and one to remove the record of its task.
 func TestSmallJobs(t *testing.T) {
 	const atOnce, inTime = 300 * time.Millisecond, 0.98
 	for _, limit := range []float64{30, 20} {
@@ -118,7 +118,8 @@
 			}
 			writes := stream.writes
 			t.Logf("got writes for %d jobs, %d of them cancelled: %v", stream.jobs, stream.cancelled, writes)
-			// Up to 2 % of the starts may be repeated. Jobs that are cancelled before their start need fewer writes.
+			// Up to 2 % of the starts may be repeated. Jobs that are cancelled before their start need fewer
+			// writes.
 			if maxWrites := stream.jobs + stream.cancelled; writes["open"] > maxWrites || writes["job"] > stream.jobs || writes["open removed"] > stream.jobs || writes["task"] > stream.world.Starts+stream.world.Starts/50 || writes["task removed"] > writes["task"] {
 				t.Errorf("%d jobs with %d starts: got writes %v, want no more than their records need", stream.jobs, stream.world.Starts, writes)
 			}
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -14,8 +14,8 @@
 //
 // They guard against such a job waiting as long as any task runs on that machine. This happens if shard
 // leaders ask the leader only for rentals or idle machines, and offer only idle machines that they don't
-// need: then a machine in use is neither requested nor offered. In TestFreeCapacityOnMachineOfOtherShard the job
-// then waits from second 60 to second 151: each second its shard leader requests one big machine, the
+// need: then a machine in use is neither requested nor offered. In TestFreeCapacityOnMachineOfOtherShard the
+// job then waits from second 60 to second 151: each second its shard leader requests one big machine, the
 // leader answers that no other shard leader has a surplus, and the cloud refuses the machine type.
 
 // newBigMachinesWorld returns a world of three controllers whose cloud has count big machines and no other
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestShardLeadersWithCapacityForEachOther has two shard leaders, each with one machine whose free capacity only
-// fits the waiting job of the other. It guards against a deadlock in which neither job starts, and
+// TestShardLeadersWithCapacityForEachOther has two shard leaders, each with one machine whose free capacity
+// only fits the waiting job of the other. It guards against a deadlock in which neither job starts, and
 // against transfers that restart running tasks.
 func TestShardLeadersWithCapacityForEachOther(t *testing.T) {
 	types, _ := testTypes()
--- a/internal/simulation/waits_test.go
+++ b/internal/simulation/waits_test.go
@@ -12,9 +12,9 @@
 // hardest to place.
 const maxStartDelay = 4 * time.Minute
 
-// TestWaitsAreBoundedUnderOverload keeps submitting more small urgent jobs than there is capacity for, and crashes the
-// shard leader once. It guards against starvation of two jobs: one whose tasks each need a whole machine of the
-// largest type, and one of the lowest urgency.
+// TestWaitsAreBoundedUnderOverload keeps submitting more small urgent jobs than there is capacity for, and
+// crashes the shard leader once. It guards against starvation of two jobs: one whose tasks each need a whole
+// machine of the largest type, and one of the lowest urgency.
 func TestWaitsAreBoundedUnderOverload(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
