--- a/internal/simulation/cancel_outage_test.go
+++ b/internal/simulation/cancel_outage_test.go
@@ -11,8 +11,8 @@
 
 // cancelOutage describes a day on which a shard leader loses its connection to the state service and another
 // controller confirms cancellations of that shard leader's jobs. Then the state service fails for all
-// controllers, for at least as long as cancelled tasks may run, while the workers still send heartbeats to the
-// shard leader.
+// controllers, for at least as long as cancelled tasks may run, while the workers still send heartbeats to
+// the shard leader.
 type cancelOutage struct {
 	lease, cancelWithin time.Duration
 	controllers, teams  int
--- a/internal/simulation/checks_test.go
+++ b/internal/simulation/checks_test.go
@@ -41,7 +41,8 @@
 		}
 		return ""
 	}
-	// All jobs are known after 100 s, so the largest job of a class is then the same as at the end of the day.
+	// All jobs are known after 100 s, so the largest job of a class is then the same as at the end of the
+	// day.
 	largestJob := func(world *World, name string) *userJob { return world.largestJobs()[name][0][0] }
 	largest := ""
 	uncorrupted := day.run("", func(world *World, effect message.Effect) message.Effect {
--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -20,10 +20,10 @@
 }
 
 // TestOldHeartbeatAtEveryController guards against a new leader that trusts an outdated heartbeat. All
-// controllers receive a machine's heartbeat from before a task started there, or from while the task
-// ran, up to 30 s after the leaders crash. The task must not start a second time while it runs on a
-// partitioned machine, and must still count against the quota limit if it was cancelled. The heartbeat must not
-// renew the lease: a task of a dead machine restarts as soon as it does without the heartbeat.
+// controllers receive a machine's heartbeat from before a task started there, or from while the task ran, up
+// to 30 s after the leaders crash. The task must not start a second time while it runs on a partitioned
+// machine, and must still count against the quota limit if it was cancelled. The heartbeat must not renew the
+// lease: a task of a dead machine restarts as soon as it does without the heartbeat.
 func TestOldHeartbeatAtEveryController(t *testing.T) {
 	// simulate delivers copies of the heartbeat after the delay, or none if the delay is 0. It returns
 	// the time from the crash of the shard leader to the next start, and the number of answered copies.
@@ -346,8 +346,8 @@
 					}
 					world.submitMany("n", "ops", 3, 1, 2, 20*time.Second)
 					world.Run(duration)
-					// A shard leader inside the zone answers heartbeats, and so renews leases, until its grace
-					// period ends. With it, only the longer partition makes tasks lose their leases.
+					// A shard leader inside the zone answers heartbeats, and so renews leases, until its
+					// grace period ends. With it, only the longer partition makes tasks lose their leases.
 					if world.cloudOutage = false; world.LostToLease == 0 && kind == "lost, no cloud" && (!withShardLeader || duration > time.Minute) {
 						t.Error("got no task lost to its lease, want some")
 					}
@@ -423,9 +423,9 @@
 	}
 }
 
-// TestCommandOfFormerLeader guards against a delayed command of a crashed shard leader that is executed twice,
-// or after the successor has reached the machine. If the command arrives earlier, the machine executes the
-// command once and the successor takes over its effect. If it arrives later, the machine refuses it.
+// TestCommandOfFormerLeader guards against a delayed command of a crashed shard leader that is executed
+// twice, or after the successor has reached the machine. If the command arrives earlier, the machine executes
+// the command once and the successor takes over its effect. If it arrives later, the machine refuses it.
 func TestCommandOfFormerLeader(t *testing.T) {
 	var early, late atomic.Int64
 	t.Run("delays", func(t *testing.T) {
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -205,9 +205,9 @@
 	readers.sentFate[key] = fate
 }
 
-// recordUnanswered records a request without a definite reply, which may still take effect later, and retries a
-// submission or cancellation. If an earlier request of the same kind is unanswered too, or was answered before
-// this request was sent, this request adds nothing to the history.
+// recordUnanswered records a request without a definite reply, which may still take effect later, and retries
+// a submission or cancellation. If an earlier request of the same kind is unanswered too, or was answered
+// before this request was sent, this request adds nothing to the history.
 func (readers *concurrentReaders) recordUnanswered(operation jobOperation, sentAt int64, reply message.UserReply) {
 	readers.unansweredCount[operation.kind]++
 	if reply.Status != 0 && reply.Status != 503 {
@@ -235,8 +235,8 @@
 	})
 }
 
-// recordFate records the newest fate that users were told, and starts a burst if the fate is new. A final fate
-// stays.
+// recordFate records the newest fate that users were told, and starts a burst if the fate is new. A final
+// fate stays.
 func (readers *concurrentReaders) recordFate(id string, fate jobFate) {
 	if fate == fateUnknown || fate == readers.newestFate[id] || readers.newestFate[id] == fateDone || readers.newestFate[id] == fateCancelled {
 		return
@@ -332,8 +332,8 @@
 	readers.world.Run(5 * time.Minute)
 }
 
-// dropImpliedReads returns a history without implied reads, since Porcupine would try all their orders. A read
-// implies another read with the same answer if its interval lies within the interval of the other read.
+// dropImpliedReads returns a history without implied reads, since Porcupine would try all their orders. A
+// read implies another read with the same answer if its interval lies within the interval of the other read.
 func dropImpliedReads(history []porcupine.Operation) []porcupine.Operation {
 	readAnswer := func(operation porcupine.Operation) (jobAnswer, bool) {
 		answer, kind := operation.Output.(jobAnswer), operation.Input.(jobOperation).kind
@@ -384,9 +384,9 @@
 }
 
 // TestConcurrentReads guards against a controller that answers an older state of a job than any controller
-// answered before. Users query all controllers and resubmit jobs at the moment when a job is accepted, ends or
-// is cancelled, and within milliseconds afterwards. Meanwhile controllers crash, and the state service refuses
-// requests, is slow, loses responses or applies writes late. Each job must behave as one register.
+// answered before. Users query all controllers and resubmit jobs at the moment when a job is accepted, ends
+// or is cancelled, and within milliseconds afterwards. Meanwhile controllers crash, and the state service
+// refuses requests, is slow, loses responses or applies writes late. Each job must behave as one register.
 func TestConcurrentReads(t *testing.T) {
 	for seed := range dayCount(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestDayResults checks that the result of a day has classes, jobs, starts and costs, and that Shrink reduces a
-// failing day to the one fault that makes it fail.
+// TestDayResults checks that the result of a day has classes, jobs, starts and costs, and that Shrink reduces
+// a failing day to the one fault that makes it fail.
 func TestDayResults(t *testing.T) {
 	day := GenerateDay(DayParams{Seed: 5, Machines: 40, Teams: 2, Controllers: 3, Jobs: 12, Minutes: 1, FaultCount: 4})
 	result := RunDay(day, "")
--- a/internal/simulation/faulty_machines_test.go
+++ b/internal/simulation/faulty_machines_test.go
@@ -13,8 +13,8 @@
 // job is done, while at least one task runs on a healthy machine. It guards against the other tasks waiting
 // although healthy machines have free capacity. That happens if failures on three machines without a finished
 // task count as the job's own fault although a running task has lasted much longer than the failed ones: the
-// controller logs "job fails on every machine: backing off", tries one task at a time, and logs no "task
-// placed" of the job while that task runs.
+// controller logs "job fails on every machine: backing off", tries one task at a time, and logs no
+// "task placed" of the job while that task runs.
 func TestJobWithFailuresOnFaultyMachines(t *testing.T) {
 	for _, faulty := range []int{3, 5} {
 		t.Run(fmt.Sprint(faulty), func(t *testing.T) {
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// BenchmarkSteady measures the processor time and the writes of the controllers for each simulated second of a
-// steady load, at several cluster sizes. It shows how both grow with the size of the cluster.
+// BenchmarkSteady measures the processor time and the writes of the controllers for each simulated second of
+// a steady load, at several cluster sizes. It shows how both grow with the size of the cluster.
 func BenchmarkSteady(b *testing.B) {
 	for _, scale := range []float64{0.1, 0.3, 1} {
 		b.Run(fmt.Sprint(scale), func(b *testing.B) {
--- a/internal/simulation/lost_responses_test.go
+++ b/internal/simulation/lost_responses_test.go
@@ -24,7 +24,7 @@
 	lost map[string]int
 }
 
-// loseResponses makes a world lose the responses to a share of the transactions from this moment on.
+// loseResponses makes a world lose the responses to a fraction of the transactions from this moment on.
 func loseResponses(world *World, seed uint64, fraction float64) *lostResponses {
 	responses := &lostResponses{fraction: fraction, senderByKey: map[string]string{}, lost: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 404))
--- a/internal/simulation/lower_limits_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -11,8 +11,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// lowerLimitsWorld is a world whose state service will lower its limits. A controller has the new limits in its
-// settings only after it has been replaced by the new version.
+// lowerLimitsWorld is a world whose state service will lower its limits. A controller has the new limits in
+// its settings only after it has been replaced by the new version.
 type lowerLimitsWorld struct {
 	*World
 	// newSettings holds the settings with the new limits.
@@ -91,10 +91,10 @@
 }
 
 // TestLowerLimits replaces the controllers one after the other while jobs of a hundred tasks run, and then
-// lowers the limits: at different times of a takeover, with writes that are applied late, and with a controller
-// that restarts as the old version. It guards against task records that were written under the old limits and
-// are too large for the new ones: the state service then rejects every further write of the job's tasks as
-// malformed, for ever.
+// lowers the limits: at different times of a takeover, with writes that are applied late, and with a
+// controller that restarts as the old version. It guards against task records that were written under the old
+// limits and are too large for the new ones: the state service then rejects every further write of the job's
+// tasks as malformed, for ever.
 func TestLowerLimits(t *testing.T) {
 	for _, variant := range sampleCases(24, 4) {
 		t.Run(fmt.Sprint(variant), func(t *testing.T) {
--- a/internal/simulation/margins_test.go
+++ b/internal/simulation/margins_test.go
@@ -12,8 +12,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// newWaitingWorld returns a world without faults that drops every command to start a task of job-000002. limit
-// is the CPU quota limit of team ops; 0 means no limit.
+// newWaitingWorld returns a world without faults that drops every command to start a task of job-000002.
+// limit is the CPU quota limit of team ops; 0 means no limit.
 func newWaitingWorld(limit float64) *World {
 	types, capacity := testTypes()
 	settings := testSettings()
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestCancellationMargins checks the margin of a cancellation: the part of cancel_s that remains when the last
-// task stops. The time counts from the moment at which the first answer leaves a controller.
+// TestCancellationMargins checks the margin of a cancellation: the part of cancel_s that remains when the
+// last task stops. The time counts from the moment at which the first answer leaves a controller.
 func TestCancellationMargins(t *testing.T) {
 	world := newBusyWorld(t)
 	const left = 12 * time.Second
@@ -158,8 +158,9 @@
 	}
 }
 
-// TestWaitingBesideExpensiveMachine guards against a job that waits although an expensive machine that is being
-// decommissioned has free capacity for it. The job is not late yet, and no other machine can run it for now.
+// TestWaitingBesideExpensiveMachine guards against a job that waits although an expensive machine that is
+// being decommissioned has free capacity for it. The job is not late yet, and no other machine can run it for
+// now.
 func TestWaitingBesideExpensiveMachine(t *testing.T) {
 	types, _ := testTypes()
 	world := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1})
--- a/internal/simulation/models_test.go
+++ b/internal/simulation/models_test.go
@@ -18,7 +18,7 @@
 	*World
 	// smallJobs has the IDs of the four jobs.
 	smallJobs []string
-	// source and to are the source and the target machine of the first step of the first plan in the last
+	// source and target are the source and the target machine of the first step of the first plan in the last
 	// migration record that a controller wrote, and host is the machine that this plan frees.
 	source, target, host string
 	// jobWithoutReplicas names the first small job that had no replica on a machine, with the time; it is
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestPipelineChecksDetectCorruption checks that each check of dependencies reports a corrupted controller, and
-// that none reports a correct controller. Job a of a chain is cancelled in some cases.
+// TestPipelineChecksDetectCorruption checks that each check of dependencies reports a corrupted controller,
+// and that none reports a correct controller. Job a of a chain is cancelled in some cases.
 func TestPipelineChecksDetectCorruption(t *testing.T) {
 	const idA, idB, idC = "job-00000a", "job-00000b", "job-00000c"
 	for _, test := range []struct {
@@ -154,9 +154,10 @@
 	}
 }
 
-// TestPipelineSubmissions checks how controllers answer submissions of dependent jobs. A job that depends on an
-// unknown job, on itself or twice on the same job is refused permanently. A resubmission is recognized in every
-// state of the dependencies. A job that depends on a cancelled job is accepted and cancelled without a start.
+// TestPipelineSubmissions checks how controllers answer submissions of dependent jobs. A job that depends on
+// an unknown job, on itself or twice on the same job is refused permanently. A resubmission is recognized in
+// every state of the dependencies. A job that depends on a cancelled job is accepted and cancelled without a
+// start.
 func TestPipelineSubmissions(t *testing.T) {
 	world := newTestWorld(5)
 	jobA, jobB, jobC := world.submitChain(10 * time.Second)
@@ -290,10 +291,10 @@
 	}
 }
 
-// TestPipelineBounds guards against large pipelines that exceed the state service's limits of 4 KiB for a value
-// and 12 writes for a transaction. A job with 1000 dependencies and the last job of a chain of 200 must start
-// once their dependencies are done. Another job with 1001 dependencies must be cancelled with one of them.
-// No request may be malformed.
+// TestPipelineBounds guards against large pipelines that exceed the state service's limits of 4 KiB for a
+// value and 12 writes for a transaction. A job with 1000 dependencies and the last job of a chain of 200 must
+// start once their dependencies are done. Another job with 1001 dependencies must be cancelled with one of
+// them. No request may be malformed.
 func TestPipelineBounds(t *testing.T) {
 	const dependencyCount, chainLength = 1000, 200
 	world := newSmallWorld(9, testSettings())
--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -190,7 +190,8 @@
 }
 
 // TestPromisesRandomDays checks on random days with faults that promised dates are linearizable and that the
-// stored totals are exact. Users query all jobs at all controllers. Some days also duplicate or lose messages.
+// stored totals are exact. Users query all jobs at all controllers. Some days also duplicate or lose
+// messages.
 func TestPromisesRandomDays(t *testing.T) {
 	for seed := range dayCount(t, 8, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -222,8 +223,8 @@
 	return ok && request.Kind == message.OpTxn && len(request.Writes) > 0 && strings.HasPrefix(request.Writes[0].Key, "open/~")
 }
 
-// describe queries all jobs at all controllers. It returns the number of jobs with and without a date, whether
-// all controllers answered the same, and the violations, in the format of the scenario files.
+// describe queries all jobs at all controllers. It returns the number of jobs with and without a date,
+// whether all controllers answered the same, and the violations, in the format of the scenario files.
 func (recorder *promiseRecorder) describe(revised bool) string {
 	world := recorder.world
 	last := map[string]promiseValue{}
@@ -326,8 +327,8 @@
 
 // TestPromiseWritesAreGuarded guards against a former leader whose late write replaces newer dates or totals.
 // Each write of a page of dates must compare the shard record of the page's team and the page's own mod
-// revision, and each write of the totals must compare the leader record and the totals' own mod revision. Each
-// of these writes must conflict if it is applied again later. At the end the totals must be exact.
+// revision, and each write of the totals must compare the leader record and the totals' own mod revision.
+// Each of these writes must conflict if it is applied again later. At the end the totals must be exact.
 func TestPromiseWritesAreGuarded(t *testing.T) {
 	world := newPromiseWorld(6, 3)
 	recorder := recordPromises(world)
@@ -397,9 +398,9 @@
 	}
 }
 
-// TestPromisesSwitchedOnAndOff checks that promises can be switched on and off by a restart of the controllers
-// while jobs run. All jobs must end and no query may fail. Jobs that were submitted without promises must get a
-// date later, and while promises are off no date may be answered or written.
+// TestPromisesSwitchedOnAndOff checks that promises can be switched on and off by a restart of the
+// controllers while jobs run. All jobs must end and no query may fail. Jobs that were submitted without
+// promises must get a date later, and while promises are off no date may be answered or written.
 func TestPromisesSwitchedOnAndOff(t *testing.T) {
 	world := newTestWorld(8)
 	recorder := recordPromises(world)
@@ -449,9 +450,9 @@
 	}
 }
 
-// TestServicePromises checks that the date of a service is the time by which all its replicas run. A service of
-// a class that has started before gets its date with the acceptance, and after three services of the
-// class the promises must be kept.
+// TestServicePromises checks that the date of a service is the time by which all its replicas run. A service
+// of a class that has started before gets its date with the acceptance, and after three services of the class
+// the promises must be kept.
 func TestServicePromises(t *testing.T) {
 	world := newPromiseWorld(9, 3)
 	recorder := recordPromises(world)
--- a/internal/simulation/ranking_load_test.go
+++ b/internal/simulation/ranking_load_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestRankedDays plays random days with random faults and changing rankings, and checks the invariants and the
-// final answers about all jobs.
+// TestRankedDays plays random days with random faults and changing rankings, and checks the invariants and
+// the final answers about all jobs.
 func TestRankedDays(t *testing.T) {
 	for seed := range dayCount(t, 8, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -147,8 +147,8 @@
 }
 
 // TestRankingSwitchedOnAndOff restarts the controllers one after another while jobs run, with the ranking
-// enabled and disabled in turn. It guards against lost jobs, and against controllers that modify or remove the
-// stored ranking although their ranking is disabled.
+// enabled and disabled in turn. It guards against lost jobs, and against controllers that modify or remove
+// the stored ranking although their ranking is disabled.
 func TestRankingSwitchedOnAndOff(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		world := newRankingWorld(21, controllers)
--- a/internal/simulation/rebalance_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -58,9 +58,9 @@
 	return times
 }
 
-// longestStartGap returns the longest interval after since in which no task of the team started. It counts only
-// intervals that contain a migration of the team or begin within ten seconds after one. Other intervals are
-// due to a lack of capacity.
+// longestStartGap returns the longest interval after since in which no task of the team started. It counts
+// only intervals that contain a migration of the team or begin within ten seconds after one. Other intervals
+// are due to a lack of capacity.
 func (world *World) longestStartGap(team string, since time.Time) time.Duration {
 	migrations := world.teamMigrations(team, since)
 	times := []time.Time{since, world.now}
@@ -167,8 +167,8 @@
 }
 
 // TestTeamMigrationOverBadLinks migrates teams while messages are lost, duplicated or held, controllers are
-// partitioned from each other, controllers crash, or the state service fails. It guards against tasks that run
-// twice and jobs that are never done.
+// partitioned from each other, controllers crash, or the state service fails. It guards against tasks that
+// run twice and jobs that are never done.
 func TestTeamMigrationOverBadLinks(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/simulation/scenario_faults_test.go
+++ b/internal/simulation/scenario_faults_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// startFault starts the fault that a scenario command names, and fails the test if there is no such fault. The
-// command has no output.
+// startFault starts the fault that a scenario command names, and fails the test if there is no such fault.
+// The command has no output.
 func (scenario *scenario) startFault(t *testing.T, command *datadriven.TestData) string {
 	kind, duration := command.CmdArgs[0].Key, durationArg(t, command, "for", 20)
 	for _, start := range []func(*testing.T, *datadriven.TestData, string, time.Duration) bool{
@@ -131,8 +131,8 @@
 	return ""
 }
 
-// controllerArg returns the index of the controller that a scenario command names: the first shard leader, the
-// shard leader of a team, or the controller with a number, by default 0.
+// controllerArg returns the index of the controller that a scenario command names: the first shard leader,
+// the shard leader of a team, or the controller with a number, by default 0.
 func (scenario *scenario) controllerArg(t *testing.T, command *datadriven.TestData) int {
 	if command.HasArg("owner") {
 		return scenario.shardLeader()
@@ -271,8 +271,9 @@
 	return true
 }
 
-// startHeldCommand holds back the next worker command that starts tasks. Depending on the arguments, it cancels
-// the first task's job, crashes the shard leader or reclaims the machine while the command is held back.
+// startHeldCommand holds back the next worker command that starts tasks. Depending on the arguments, it
+// cancels the first task's job, crashes the shard leader or reclaims the machine while the command is held
+// back.
 func (scenario *scenario) startHeldCommand(command *datadriven.TestData, duration time.Duration) {
 	world := scenario.world
 	// The arguments are read at once, since the test data belongs to a later scenario command by the time
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestSimulationDetectsCorruption corrupts what controllers do or send, and checks that the invariant checkers
-// report the rule that this violates.
+// TestSimulationDetectsCorruption corrupts what controllers do or send, and checks that the invariant
+// checkers report the rule that this violates.
 func TestSimulationDetectsCorruption(t *testing.T) {
 	for _, test := range []struct {
 		rule    string
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -83,8 +83,8 @@
 	checkNoViolations(t, world)
 }
 
-// TestFreeCapacityBesideReplicas submits a job that fits only beside long-running replicas of another shard. It
-// guards against a transfer that waits for replicas, which never end, or restarts them.
+// TestFreeCapacityBesideReplicas submits a job that fits only beside long-running replicas of another shard.
+// It guards against a transfer that waits for replicas, which never end, or restarts them.
 func TestFreeCapacityBesideReplicas(t *testing.T) {
 	world := newBigMachinesWorld(5, 1)
 	spec := longJob("job-000001", 4)
