--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -16,7 +16,8 @@
 // leaders ask the leader only for rentals or idle machines, and offer only idle machines that they don't
 // need: then a machine in use is neither requested nor offered. In TestFreeCapacityOnMachineOfOtherShard the
 // job then waits from second 60 to second 151: each second its shard leader requests one big machine, the
-// leader answers that no other shard leader has a surplus, and the cloud refuses the machine type.
+// leader answers that no other shard leader has a surplus, and the cloud refuses the machine type. The shard
+// leader of the waiting job counts one job with "no free capacity here".
 
 // newBigMachinesWorld returns a world of three controllers whose cloud has count big machines and no other
 // machines. The world counts as free of faults from its start, so that the rules on waiting times apply.
