--- a/internal/simulation/cancel_outage_test.go
+++ b/internal/simulation/cancel_outage_test.go
@@ -11,8 +11,8 @@
 
 // cancelOutage describes a day on which a shard leader loses its connection to the state service and another
 // controller confirms cancellations of that shard leader's jobs. Then the state service fails for all
-// controllers, for at least as long as cancelled tasks may run, while the workers still send heartbeats to the
-// shard leader.
+// controllers, for at least as long as cancelled tasks may run, while the workers still send heartbeats to
+// the shard leader.
 type cancelOutage struct {
 	lease, cancelWithin time.Duration
 	controllers, teams  int
@@ -38,8 +38,8 @@
 		outage.lease, outage.cancelWithin, outage.controllers, outage.teams, outage.loss, outage.peersConnected, outage.leaderIsolatedFor, outage.outageFactor, outage.crash, outage.restartAfter)
 }
 
-// minRemainingLease is the least remaining time of the shard leader's lease when the shard leader loses the state
-// service. It renewed the lease at most a second before.
+// minRemainingLease is the least remaining time of the shard leader's lease when the shard leader loses the
+// state service. It renewed the lease at most a second before.
 const minRemainingLease = 3 * time.Second
 
 // run plays the day. It returns the violations, and whether the day covered its case: a job of the isolated
--- a/internal/simulation/checks_test.go
+++ b/internal/simulation/checks_test.go
@@ -41,7 +41,8 @@
 		}
 		return ""
 	}
-	// All jobs are known after 100 s, so the largest job of a class is then the same as at the end of the day.
+	// All jobs are known after 100 s, so the largest job of a class is then the same as at the end of the
+	// day.
 	largestJob := func(world *World, name string) *userJob { return world.largestJobs()[name][0][0] }
 	largest := ""
 	uncorrupted := day.run("", func(world *World, effect message.Effect) message.Effect {
@@ -124,8 +125,9 @@
 	}
 }
 
-// TestProtocolFaultDays plays days with protocol faults, one of them with models, and days on which users poll
-// 8, 30 and 100 times as often as usual, with 3 and 5 controllers. It guards against violations and starved jobs.
+// TestProtocolFaultDays plays days with protocol faults, one of them with models, and days on which users
+// poll 8, 30 and 100 times as often as usual, with 3 and 5 controllers. It guards against violations and
+// starved jobs.
 func TestProtocolFaultDays(t *testing.T) {
 	pollStorm := func(polls float64) []Fault {
 		return []Fault{{Kind: "polls", At: 20 * time.Second, Duration: time.Minute, Fraction: polls}}
--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -6,8 +6,8 @@
 )
 
 // TestDays plays days with one to nine teams, three to seven controllers and low limits. Two more days guard
-// against tasks that run twice without any fault: with two and three teams on so many machines, the machine names
-// of a shard exceed value_kb. To play more days:
+// against tasks that run twice without any fault: with two and three teams on so many machines, the machine
+// names of a shard exceed value_kb. To play more days:
 // MICAHILL_DAYS=300 go test ./internal/simulation -run TestDays
 func TestDays(t *testing.T) {
 	days := []DayParams{
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestDayResults checks that the result of a day has classes, jobs, starts and costs, and that Shrink reduces a
-// failing day to the one fault that makes it fail.
+// TestDayResults checks that the result of a day has classes, jobs, starts and costs, and that Shrink reduces
+// a failing day to the one fault that makes it fail.
 func TestDayResults(t *testing.T) {
 	day := GenerateDay(DayParams{Seed: 5, Machines: 40, Teams: 2, Controllers: 3, Jobs: 12, Minutes: 1, FaultCount: 4})
 	result := RunDay(day, "")
--- a/internal/simulation/lost_responses_test.go
+++ b/internal/simulation/lost_responses_test.go
@@ -24,7 +24,7 @@
 	lost map[string]int
 }
 
-// loseResponses makes a world lose the responses to a share of the transactions from this moment on.
+// loseResponses makes a world lose the responses to a fraction of the transactions from this moment on.
 func loseResponses(world *World, seed uint64, fraction float64) *lostResponses {
 	responses := &lostResponses{fraction: fraction, senderByKey: map[string]string{}, lost: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 404))
@@ -64,8 +64,8 @@
 // TestLostResponses plays random days on which about every seventh transaction is applied but its response is
 // lost, while the rest of the system already acts on what it wrote. Rankings change, and promises and replica
 // migrations are enabled. It guards against a sender that takes an applied transaction for a failed one. No
-// invariant may be violated, reads and writes of each job's promised date must be linearizable, the totals must be
-// exact, and all jobs must end.
+// invariant may be violated, reads and writes of each job's promised date must be linearizable, the totals
+// must be exact, and all jobs must end.
 func TestLostResponses(t *testing.T) {
 	lost, mu := map[string]int{}, sync.Mutex{}
 	days := dayCount(t, 8, 3)
--- a/internal/simulation/lower_limits_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -11,8 +11,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// lowerLimitsWorld is a world whose state service will lower its limits. A controller has the new limits in its
-// settings only after it has been replaced by the new version.
+// lowerLimitsWorld is a world whose state service will lower its limits. A controller has the new limits in
+// its settings only after it has been replaced by the new version.
 type lowerLimitsWorld struct {
 	*World
 	// newSettings holds the settings with the new limits.
@@ -59,10 +59,10 @@
 // lowerLimits makes the state service enforce the new limits.
 func (world *lowerLimitsWorld) lowerLimits() { world.state.SetLimits(world.newSettings) }
 
-// TestLowerLimitsWithUnseenReplacement replaces the last controller while it is partitioned from the state service until long
-// after the limits are lowered. The other controllers cannot learn that it runs the new version, so they go on
-// writing under the old limits. They may be refused only a few times before they adopt the new limits, and all
-// jobs must end.
+// TestLowerLimitsWithUnseenReplacement replaces the last controller while it is partitioned from the state
+// service until long after the limits are lowered. The other controllers cannot learn that it runs the new
+// version, so they go on writing under the old limits. They may be refused only a few times before they adopt
+// the new limits, and all jobs must end.
 func TestLowerLimitsWithUnseenReplacement(t *testing.T) {
 	world := newLowerLimitsWorld(7)
 	world.Run(time.Minute)
@@ -91,10 +91,10 @@
 }
 
 // TestLowerLimits replaces the controllers one after the other while jobs of a hundred tasks run, and then
-// lowers the limits: at different times of a takeover, with writes that are applied late, and with a controller
-// that restarts as the old version. It guards against task records that were written under the old limits and
-// are too large for the new ones: the state service then rejects every further write of the job's tasks as
-// malformed, for ever.
+// lowers the limits: at different times of a takeover, with writes that are applied late, and with a
+// controller that restarts as the old version. It guards against task records that were written under the old
+// limits and are too large for the new ones: the state service then rejects every further write of the job's
+// tasks as malformed, for ever.
 func TestLowerLimits(t *testing.T) {
 	for _, variant := range sampleCases(24, 4) {
 		t.Run(fmt.Sprint(variant), func(t *testing.T) {
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// injectEarlyStart returns a corruption that starts a job's first task before its dependencies are done: it adds the
-// start to the first commands for any machine, and drops all commands that stop tasks of the job.
+// injectEarlyStart returns a corruption that starts a job's first task before its dependencies are done: it
+// adds the start to the first commands for any machine, and drops all commands that stop tasks of the job.
 func injectEarlyStart(id string) func(message.Effect) message.Effect {
 	start, startsLeft := model.TaskCommand{Kind: model.StartTask, Job: id, Attempt: 99}, 1
 	addStart := func(commands []model.TaskCommand) []model.TaskCommand {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestPipelineChecksDetectCorruption checks that each check of dependencies reports a corrupted controller, and
-// that none reports a correct controller. Job a of a chain is cancelled in some cases.
+// TestPipelineChecksDetectCorruption checks that each check of dependencies reports a corrupted controller,
+// and that none reports a correct controller. Job a of a chain is cancelled in some cases.
 func TestPipelineChecksDetectCorruption(t *testing.T) {
 	const idA, idB, idC = "job-00000a", "job-00000b", "job-00000c"
 	for _, test := range []struct {
@@ -154,9 +154,10 @@
 	}
 }
 
-// TestPipelineSubmissions checks how controllers answer submissions of dependent jobs. A job that depends on an
-// unknown job, on itself or twice on the same job is refused permanently. A resubmission is recognized in every
-// state of the dependencies. A job that depends on a cancelled job is accepted and cancelled without a start.
+// TestPipelineSubmissions checks how controllers answer submissions of dependent jobs. A job that depends on
+// an unknown job, on itself or twice on the same job is refused permanently. A resubmission is recognized in
+// every state of the dependencies. A job that depends on a cancelled job is accepted and cancelled without a
+// start.
 func TestPipelineSubmissions(t *testing.T) {
 	world := newTestWorld(5)
 	jobA, jobB, jobC := world.submitChain(10 * time.Second)
@@ -203,9 +204,9 @@
 	checkNoViolations(t, world)
 }
 
-// TestPipelineCancelledAtTheEnd guards against a chain whose jobs disagree about a cancellation. The first job is
-// cancelled within 64 ms around the end of its last task, at one to three controllers. It may end as done or
-// cancelled, and all its dependents must end in the same state.
+// TestPipelineCancelledAtTheEnd guards against a chain whose jobs disagree about a cancellation. The first
+// job is cancelled within 64 ms around the end of its last task, at one to three controllers. It may end as
+// done or cancelled, and all its dependents must end in the same state.
 func TestPipelineCancelledAtTheEnd(t *testing.T) {
 	world := newTestWorldOfSize(7, 3)
 	first, _, _ := world.submitChain(10 * time.Second)
@@ -290,10 +291,10 @@
 	}
 }
 
-// TestPipelineBounds guards against large pipelines that exceed the state service's limits of 4 KiB for a value
-// and 12 writes for a transaction. A job with 1000 dependencies and the last job of a chain of 200 must start
-// once their dependencies are done. Another job with 1001 dependencies must be cancelled with one of them.
-// No request may be malformed.
+// TestPipelineBounds guards against large pipelines that exceed the state service's limits of 4 KiB for a
+// value and 12 writes for a transaction. A job with 1000 dependencies and the last job of a chain of 200 must
+// start once their dependencies are done. Another job with 1001 dependencies must be cancelled with one of
+// them. No request may be malformed.
 func TestPipelineBounds(t *testing.T) {
 	const dependencyCount, chainLength = 1000, 200
 	world := newSmallWorld(9, testSettings())
@@ -337,10 +338,10 @@
 	checkNoViolations(t, world)
 }
 
-// TestDependentWaitsForStoredEnd guards against a dependent that starts before the end of its dependency is stored.
-// The state service refuses the write that the job is done, while all tasks of the job are done and its shard
-// leader knows this. No dependent may start meanwhile, also if all controllers crash. Once the write
-// succeeds, the dependents must run.
+// TestDependentWaitsForStoredEnd guards against a dependent that starts before the end of its dependency is
+// stored. The state service refuses the write that the job is done, while all tasks of the job are done and
+// its shard leader knows this. No dependent may start meanwhile, also if all controllers crash. Once the
+// write succeeds, the dependents must run.
 func TestDependentWaitsForStoredEnd(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		world := newTestWorld(11)
@@ -377,8 +378,8 @@
 	}
 }
 
-// TestStartBeforeStoredEndIsDetected checks that checkDependencies reports a start of a dependent after all tasks of the
-// dependency are done but before the state service has stored its end.
+// TestStartBeforeStoredEndIsDetected checks that checkDependencies reports a start of a dependent after all
+// tasks of the dependency are done but before the state service has stored its end.
 func TestStartBeforeStoredEndIsDetected(t *testing.T) {
 	world := newTestWorld(3)
 	jobA, jobB, _ := world.submitChain(10 * time.Second)
--- a/internal/simulation/transfers_test.go
+++ b/internal/simulation/transfers_test.go
@@ -14,9 +14,10 @@
 //
 // They guard against such a job waiting as long as any task runs on that machine. This happens if shard
 // leaders ask the leader only for rentals or idle machines, and offer only idle machines that they don't
-// need: then a machine in use is neither requested nor offered. In TestFreeCapacityOnMachineOfOtherShard the job
-// then waits from second 60 to second 151: each second its shard leader requests one big machine, the
-// leader answers that no other shard leader has a surplus, and the cloud refuses the machine type.
+// need: then a machine in use is neither requested nor offered. In TestFreeCapacityOnMachineOfOtherShard the
+// job then waits from second 60 to second 151: each second its shard leader requests one big machine, the
+// leader answers that no other shard leader has a surplus, and the cloud refuses the machine type. The shard
+// leader of the waiting job counts one job with "no free capacity here".
 
 // newBigMachinesWorld returns a world of three controllers whose cloud has count big machines and no other
 // machines. The world counts as free of faults from its start, so that the rules on waiting times apply.
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestShardLeadersWithCapacityForEachOther has two shard leaders, each with one machine whose free capacity only
-// fits the waiting job of the other. It guards against a deadlock in which neither job starts, and
+// TestShardLeadersWithCapacityForEachOther has two shard leaders, each with one machine whose free capacity
+// only fits the waiting job of the other. It guards against a deadlock in which neither job starts, and
 // against transfers that restart running tasks.
 func TestShardLeadersWithCapacityForEachOther(t *testing.T) {
 	types, _ := testTypes()
@@ -83,8 +84,8 @@
 	checkNoViolations(t, world)
 }
 
-// TestFreeCapacityBesideReplicas submits a job that fits only beside long-running replicas of another shard. It
-// guards against a transfer that waits for replicas, which never end, or restarts them.
+// TestFreeCapacityBesideReplicas submits a job that fits only beside long-running replicas of another shard.
+// It guards against a transfer that waits for replicas, which never end, or restarts them.
 func TestFreeCapacityBesideReplicas(t *testing.T) {
 	world := newBigMachinesWorld(5, 1)
 	spec := longJob("job-000001", 4)
