--- a/cmd/micahill-lab/days_print.go
+++ b/cmd/micahill-lab/days_print.go
@@ -13,7 +13,7 @@
 
 // errDaysFailed reports that a rule was broken, that a group was served too little, or that one of the
 // largest jobs started too late.
-var errDaysFailed = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest started too late")
+var errDaysFailed = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest began too late")
 
 // formatStarts formats the longest waits of the largest jobs, in seconds: for a first task, and
 // for as many tasks as can run at a time.
